--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,5 +1,5 @@
-//! The store machines' program: carries out what the partitions' state machines ask for,
-//! and chooses who is to run what and when.
+//! Store node: executes the effects of the partition state machines and schedules the delivery of
+//! messages to processors.
 
 mod queue;
 mod scheduler;
