--- a/crates/store/src/queue.rs
+++ b/crates/store/src/queue.rs
@@ -1,25 +1,24 @@
-//! Queues of messages that the same processors may run.
+//! Identifies the scheduler's delivery queues.
 
 use config::{ConfigurationIndex, Homes};
 use rpc::messages::Item;
 
-/// Messages that the same processors may run wait in one queue.
+/// Identifies a delivery queue: messages that the same set of processors may run share one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct QueueId {
-    /// The service's name.
     pub service: String,
-    /// The regions in which they may be run.
+    /// The regions in which the messages may be run.
     pub homes: Homes,
 }
 
 impl QueueId {
-    /// The queue of messages for a service that are bound to no region.
+    /// The queue for messages of a service that are not bound to any region.
     pub fn unbound(service: &str) -> QueueId {
         QueueId { service: service.to_owned(), homes: Homes::default() }
     }
 
-    /// The queue that a message waits in by a configuration; `None` if that has no such route, or
-    /// another one of that name.
+    /// The queue of a message under the given configuration. `None` if the configuration has no
+    /// route of that name, or if the route of that name no longer covers the message.
     pub fn of(configuration: &ConfigurationIndex, item: &Item) -> Option<QueueId> {
         let route = configuration.route_covering(&item.route, &item.host, &item.path)?;
         let service = agent::service_of(route, &item.id).to_owned();
