--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -1,6 +1,6 @@
-//! The owner's schedule: what is ready, what is under way, and which processor
-//! gets the next one. Nothing here is durable; it is made anew from the fold
-//! whenever a partition is taken over.
+//! In-memory delivery scheduler of a partition owner: the ready queues, the attempts in flight,
+//! and the choice of a processor for each attempt. Nothing here is durable; it is rebuilt from the
+//! partition's applied state whenever a partition is taken over.
 
 mod choice;
 
@@ -12,7 +12,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap, HashSet, VecDeque};
 use std::sync::Arc;
 
-/// A message: its partition and position.
+/// Identifies a message by its partition and its position in that partition's log.
 pub type Key = (u32, u64);
 
 #[derive(Clone, Debug)]
@@ -23,15 +23,16 @@
     pub processor: String,
     pub revision: String,
     pub front: String,
+    /// When the attempt counts as overdue.
     pub until: u64,
-    /// Which attempt it is: its term and number; 0 if not known.
+    /// The term and number of the attempt; 0 where not known.
     pub attempt: (u64, u64),
 }
 
 #[derive(Clone, Debug, Default)]
 struct ProcessorState {
     in_flight: u32,
-    /// What others had there when it last told its load.
+    /// Requests of other senders at the processor, as of its last load report.
     foreign: u32,
     told_at: u64,
     failures: u32,
@@ -43,14 +44,14 @@
     at: u64,
 }
 
-/// Where a message is to be run.
+/// The processor chosen for an attempt, and the delivery node that sends it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
     /// The service that the processor belongs to.
     pub service: String,
     /// The processor's id, or the service's name for an endpoint.
     pub processor: String,
-    /// Empty for an endpoint.
+    /// The processor id that the delivery node is given; empty for an endpoint.
     pub target: String,
     pub address: String,
     pub revision: String,
@@ -58,7 +59,7 @@
     pub front_inner: String,
 }
 
-/// What messages may fill of a machine, in bytes.
+/// Limits on the memory and disk space used by messages, in bytes.
 #[derive(Clone, Copy)]
 pub struct Capacity {
     pub memory: usize,
@@ -66,9 +67,10 @@
 }
 
 impl Capacity {
-    /// Whether a message of that rank is taken. The highest rank may use all of
-    /// the room; each lower one a tenth less of the memory, down to a half, and a
-    /// fiftieth less of the disk, most of which is the store's own journals.
+    /// Whether a message of the given rank is admitted at this memory and disk usage. Rank 0 may
+    /// use all of it. Each lower priority (rank 1 to 5) may use a tenth less of the memory, down
+    /// to a half, and a fiftieth less of the disk: most of the disk is taken by the store's own
+    /// logs.
     pub fn admits(&self, rank: u32, memory: usize, disk: usize) -> bool {
         let rank = rank.min(5) as usize;
         memory <= self.memory / 10 * (10 - rank) && (self.disk == 0 || disk <= self.disk / 50 * (50 - rank))
@@ -77,15 +79,17 @@
 
 #[derive(Clone, Copy)]
 pub struct SchedulerTiming {
-    /// How long told loads hold.
+    /// How long a load report is taken into account.
     pub load_ms: u64,
-    /// The first pause after a failure; doubled up to the longest.
+    /// The first back-off after a failure; it doubles up to the maximum.
     pub pause_ms: u64,
+    /// The maximum back-off.
     pub longest_ms: u64,
 }
 
 pub struct DeliveryScheduler {
-    /// The owner's name: owners begin their search at different processors.
+    /// The name of this node. It seeds the order in which processors are searched, so that owners
+    /// start at different ones.
     me: String,
     zone: String,
     region: String,
@@ -96,44 +100,52 @@
     pub in_flight: HashMap<Key, InFlight>,
     processors: HashMap<String, ProcessorState>,
     buckets: HashMap<String, Bucket>,
-    /// The part of a metered service that this owner may use, where it is not the whole.
+    /// The fraction of a rate-limited service that this owner may use, where it is below 1.
     shares: HashMap<String, f64>,
+    /// By service, the accumulated rollout share; 1 pays for one attempt at the new revision.
     coins: HashMap<String, f64>,
+    /// By message, the number of back-offs so far.
     pauses: HashMap<Key, u32>,
+    /// By service, the number of attempts started.
     turns: HashMap<String, u32>,
     samples: HashMap<(String, String, String), Sample>,
     pub membership: Arc<Membership>,
     by_service: HashMap<String, Vec<Processor>>,
-    /// By service, in the order in which this owner looks at them.
+    /// By service, the indexes into `by_service` in this owner's search order.
     turns_at: HashMap<String, Vec<usize>>,
-    /// Of the membership in use: delivery nodes by zone, and the zones of this region.
+    /// Indexes of the delivery nodes in the current membership, by zone.
     fronts: HashMap<String, Vec<usize>>,
+    /// The zones of this node's region.
     near: HashSet<String>,
-    /// The cold processors that this owner may send to, and how much.
+    /// Token buckets of the cold processors on which this owner holds a lease.
     cold_buckets: LeasedBuckets,
     /// The region of each zone.
     regions: BTreeMap<String, String>,
-    /// Zones that are not used as any other, for evacuations.
+    /// The zones under an evacuation or returning from one.
     zone_uses: HashMap<String, ZoneUse>,
     pub assignments: Arc<Assignments>,
+    /// Call-backs to send, each with the earliest time to send it.
     pub notices: VecDeque<(u64, Key)>,
+    /// The number of call-backs in flight, by host.
     pub notices_in_flight: HashMap<String, u32>,
 }
 
-/// What a new owner knows of the delivery nodes that did not say what they hold.
+/// Which delivery nodes did not tell a new owner the attempts they hold, as far as that matters to
+/// one message.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Silence {
-    /// One of them does not answer, and no stop marker ends the log; the one that the
-    /// message was last given to does not.
+    /// At least one delivery node did not answer, and the log does not end with a stop marker.
     pub any: bool,
+    /// The delivery node to which the message was last dispatched did not answer.
     pub last: bool,
 }
 
 impl Silence {
-    /// Until when a pending message may be at work at a silent node, by the partition's time; 0:
-    /// it is not. `sent`: when the log says that it was given out last; `taken`: when
-    /// this owner took over. What the former owner gave out at the end may stand in no
-    /// log that is left; that holds up only those whose order counts.
+    /// Until when, by the partition's time, an attempt at a pending message may still run at a
+    /// node that did not answer; 0 if it cannot. `sent`: time of the last dispatch in the log;
+    /// `taken`: when this owner took over; `longest`: the longest that an attempt may run.
+    /// The former owner's last dispatches may be missing from every log that survived. Only
+    /// sequenced messages are held back for that.
     pub fn until(self, sequenced: bool, sent: u64, taken: u64, longest: u64) -> u64 {
         match (self.last, self.any && sequenced) {
             (_, true) => sent.max(taken) + longest,
@@ -185,11 +197,12 @@
         }
     }
 
-    /// Says which region each zone is in.
+    /// Sets the region of each zone.
     pub fn set_regions(&mut self, regions: &BTreeMap<String, String>) {
         self.regions = regions.clone();
     }
 
+    /// Replaces the membership and the assignments that targets are chosen by.
     pub fn news(&mut self, membership: &Arc<Membership>, assignments: &Arc<Assignments>) {
         self.assignments = assignments.clone();
         self.zone_uses = assignments
@@ -228,7 +241,7 @@
         self.processors.retain(|id, s| s.in_flight > 0 || s.failures > 0 || there.contains(id.as_str()));
     }
 
-    /// Forgets a partition that is owned elsewhere now.
+    /// Removes all messages of a partition that this node no longer owns.
     pub fn drop_partition(&mut self, partition: u32) {
         for q in self.ready.values_mut() {
             q.retain(|(_, k)| k.0 != partition);
@@ -243,7 +256,8 @@
         }
     }
 
-    /// Queues a message by its age; once.
+    /// Adds a message to a ready queue, ordered by `age`, the time since when it is due. Does
+    /// nothing if the message is queued or in flight already.
     pub fn ready(&mut self, key: Key, queue: QueueId, age: u64) {
         if self.in_flight.contains_key(&key) || self.queued.contains_key(&key) {
             return;
@@ -252,10 +266,12 @@
         self.ready.entry(queue).or_default().insert((age, key));
     }
 
+    /// Delays a message until `at`.
     pub fn later(&mut self, key: Key, at: u64) {
         self.delayed.push(Reverse((at, key)));
     }
 
+    /// Removes and returns the first delayed message whose time has come.
     pub fn take_due(&mut self, now: u64) -> Option<Key> {
         let Reverse((at, key)) = self.delayed.peek()?;
         if *at > now {
@@ -270,7 +286,7 @@
         self.delayed.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// The messages that are queued, each with its queue.
+    /// The messages in the ready queues, each with its queue.
     pub fn queued_messages(&self) -> impl Iterator<Item = (Key, &QueueId)> {
         self.queued.iter().map(|(key, (queue, _))| (*key, queue))
     }
@@ -279,14 +295,15 @@
         self.ready.iter().filter(|(_, q)| !q.is_empty()).map(|(queue, _)| queue.clone()).collect()
     }
 
-    /// The message of a queue that is to go next: the oldest of those that can
-    /// still begin inside their aim. What is late already is late however long
-    /// it waits; it gets every fourth turn, and all that the others leave.
+    /// The next message of a queue to be sent: the oldest of those that can still start within
+    /// the service's target start time. For a message that is late already, waiting longer does
+    /// not change that it missed the target; such messages get every fourth attempt, and all
+    /// capacity that the others leave.
     pub fn first_ready(&self, id: &QueueId, now: u64, target_start_ms: u64) -> Option<Key> {
         let queue = self.ready.get(id)?;
         let oldest = queue.first()?;
-        // A quarter of the aim is left for the way: one that is only just in time
-        // here begins too late there, and under load all would be such.
+        // A quarter of the target is reserved for the transfer: a message that is just in time
+        // here starts too late at the processor, and under load that would apply to all of them.
         let line = now.saturating_sub(target_start_ms * 3 / 4);
         if oldest.0 >= line || self.turns.get(&id.service).copied().unwrap_or(0) % 4 == 3 {
             return Some(oldest.1);
@@ -302,12 +319,12 @@
         }
     }
 
-    /// How many messages wait for a time.
+    /// The number of delayed messages.
     pub fn delayed(&self) -> usize {
         self.delayed.len()
     }
 
-    /// All messages that are queued, wait for a time or are under way.
+    /// All messages that are queued, delayed or in flight.
     pub fn scheduled(&self) -> HashSet<Key> {
         let delayed = self.delayed.iter().map(|Reverse((_, key))| *key);
         self.queued.keys().chain(self.in_flight.keys()).copied().chain(delayed).collect()
@@ -317,21 +334,21 @@
         self.queued.len()
     }
 
-    /// The message has ended, or moved away.
+    /// Removes a message that has ended or is kept elsewhere now.
     pub fn forget(&mut self, key: Key) {
         self.unqueue(key);
         self.pauses.remove(&key);
         self.land(key);
     }
 
-    /// How long to wait before the next attempt at a message that came to nothing.
+    /// Counts a fruitless attempt and returns how long to back off before the next one.
     pub fn pause(&mut self, key: Key) -> u64 {
         let n = self.pauses.entry(key).or_insert(0);
         *n += 1;
         (self.timing.pause_ms << (*n - 1).min(6)).min(self.timing.longest_ms)
     }
 
-    /// Says which part of a metered service this owner may use.
+    /// Sets the fraction of a rate-limited service that this owner may use.
     pub fn set_share(&mut self, service: &str, share: f64) {
         if share < 1.0 {
             self.shares.insert(service.to_owned(), share);
@@ -344,16 +361,17 @@
         self.shares.get(service).copied().unwrap_or(1.0)
     }
 
-    /// One token of a service's ceiling, if there is one now; else when.
+    /// Takes a token from a service's rate limit. If there is none, the error is the time at
+    /// which there will be one.
     pub fn token(&mut self, service: &Service, now: u64) -> Result<(), u64> {
         if service.flow_per_s <= 0.0 {
             return Ok(());
         }
         let flow_per_s = service.flow_per_s * self.share(&service.name);
-        // Begins empty: another owner may just have spent what there was.
+        // Starts empty: another owner may have spent the burst allowance just before.
         let b = self.buckets.entry(service.name.clone()).or_insert(Bucket { tokens: 0.0, at: now });
         let rate = flow_per_s / 1000.0;
-        // A tenth of a second's worth may be saved up.
+        // The burst allowance is a tenth of a second's worth of tokens.
         b.tokens = (b.tokens + (now - b.at) as f64 * rate).min((flow_per_s / 10.0).max(1.0));
         b.at = now;
         if b.tokens >= 1.0 {
@@ -364,6 +382,7 @@
         }
     }
 
+    /// The known load of a processor in requests, and its state.
     fn load(&self, id: &str, now: u64) -> (u32, &ProcessorState) {
         static NONE: ProcessorState =
             ProcessorState { in_flight: 0, foreign: 0, told_at: 0, failures: 0, shut_until: 0 };
@@ -372,7 +391,8 @@
         (s.in_flight + foreign, s)
     }
 
-    /// A delivery node that may have messages with these homes, in that zone if there is one.
+    /// The name and address of a delivery node that may receive messages with these homes:
+    /// preferably in `zone`, then in this node's zone, then in any zone.
     fn front(&self, key: &str, zone: &str, homes: &Homes) -> Option<(&str, &str)> {
         let allowed = |node: &&Node| homes.allows(&node.region);
         let of = |zone: &str| {
@@ -385,6 +405,7 @@
         Some((&found.name, &found.inner))
     }
 
+    /// Records that an attempt at a message has started.
     pub fn launch(&mut self, key: Key, choice: &Target, route: &Route, until: u64) {
         self.unqueue(key);
         let turn = self.turns.entry(choice.service.clone()).or_insert(0);
@@ -405,7 +426,7 @@
         self.in_flight.insert(key, in_flight);
     }
 
-    /// Taken over while under way.
+    /// Records an attempt that a former owner started and a delivery node still holds.
     pub fn adopt(&mut self, key: Key, route: &Route, service: &str, processor: &str, front: &str, until: u64) {
         self.unqueue(key);
         if self.in_flight.contains_key(&key) {
@@ -424,19 +445,20 @@
         self.in_flight.insert(key, in_flight);
     }
 
-    /// Says which attempt is under way.
+    /// Sets the term and number of the attempt in flight.
     pub fn name(&mut self, key: Key, term: u64, attempt: u64) {
         if let Some(f) = self.in_flight.get_mut(&key) {
             f.attempt = (term, attempt);
         }
     }
 
-    /// Whether another attempt at that message is under way than the one told of.
+    /// Whether the attempt in flight is a different one from the given one.
     pub fn outdated(&self, key: Key, term: u64, attempt: u64) -> bool {
         let differs = |a: u64, b: u64| a != 0 && b != 0 && a != b;
         self.in_flight.get(&key).is_some_and(|f| differs(f.attempt.0, term) || differs(f.attempt.1, attempt))
     }
 
+    /// Removes an attempt that has ended from those in flight.
     pub fn land(&mut self, key: Key) -> Option<InFlight> {
         let f = self.in_flight.remove(&key)?;
         if let Some(s) = self.processors.get_mut(&f.processor) {
@@ -445,10 +467,12 @@
         Some(f)
     }
 
+    /// The messages whose attempts should have been reported by now.
     pub fn overdue(&self, now: u64) -> Vec<Key> {
         self.in_flight.iter().filter(|(_, f)| now >= f.until).map(|(k, _)| *k).collect()
     }
 
+    /// The sample that an attempt counts towards, if a rollout of its service is running.
     fn sample(&mut self, f: &InFlight) -> Option<&mut Sample> {
         let running = self.assignments.rollouts.iter().any(|r| r.service == f.service && r.state == "running");
         if !running || f.revision.is_empty() {
@@ -463,11 +487,12 @@
         }))
     }
 
+    /// Removes and returns the samples gathered since the last call.
     pub fn take_samples(&mut self) -> Vec<Sample> {
         self.samples.drain().map(|(_, s)| s).collect()
     }
 
-    /// What a delivery says of the processor that had it.
+    /// Updates the rollout samples and the processor's state from the report of an attempt.
     pub fn learn(&mut self, f: &InFlight, r: &Report, now: u64) {
         let outcome = Outcome::try_from(r.outcome).unwrap_or(Outcome::Unknown);
         let timing = self.timing;
@@ -483,7 +508,7 @@
         }
         let s = self.processors.entry(f.processor.clone()).or_default();
         if r.loaded {
-            // The one just answered still counts itself as running.
+            // The processor counts the request that it has just answered as running.
             s.foreign = (r.running + r.waiting).saturating_sub(s.in_flight + 1);
             s.told_at = now;
         }
@@ -491,7 +516,7 @@
             Outcome::Done | Outcome::Failed | Outcome::Never => s.failures = 0,
             Outcome::NotRun if r.status == 409 => {}
             Outcome::NotRun if r.status == 503 || r.status == 429 => {
-                // Full: others' work fills it.
+                // The processor is full with the work of other senders.
                 s.shut_until = now + timing.pause_ms;
             }
             Outcome::NotRun if r.status == 421 => s.shut_until = now + timing.longest_ms * 4,
