--- a/crates/store/src/scheduler/choice.rs
+++ b/crates/store/src/scheduler/choice.rs
@@ -1,19 +1,19 @@
-//! The choice of a processor for the next message of a service.
+//! Chooses the processor and the delivery node for the next message of a service.
 
 use super::*;
 
 impl DeliveryScheduler {
-    /// A delivery node for calls that no processor's zone decides.
+    /// The name and address of a delivery node for calls that have no processor zone to prefer.
     pub fn any_front(&self, key: &str, homes: &Homes) -> Option<(String, String)> {
         self.front(key, &self.zone, homes).map(|(n, i)| (n.to_owned(), i.to_owned()))
     }
 
-    /// The processor for the next message of a service with these homes, if one has room.
+    /// The target for the next message of a service with these homes, if one has spare capacity.
     pub fn choose(&mut self, service: &Service, homes: &Homes, now: u64) -> Option<Target> {
         if let Some(address) = &service.endpoint {
             let (load, s) = self.load(&service.name, now);
-            // Half: after a take-over the connections of another delivery node may
-            // still stand there.
+            // Only half of the connection limit is used: after a take-over, connections of
+            // another delivery node may still be open.
             let half = f64::from(service.conn_limit / 2) * self.share(&service.name);
             let room = if s.failures > 0 { 1 } else { (half as u32).max(1) };
             if now < s.shut_until || s.in_flight >= room || load >= service.conn_limit {
@@ -47,8 +47,9 @@
         let processors = self.by_service.get(&service.name)?;
         let trying = rollout.is_some_and(|r| r.state == "running" && r.share < 1000);
         let mut fit = if trying && wants_new == Some(true) {
-            // On trial, its few runs are put on as few processors as have room:
-            // what only goes wrong under load shows before the share is raised.
+            // During a rollout the few attempts at the new revision are concentrated on as few
+            // processors as possible, so that faults which only appear under load are seen before
+            // the share is raised.
             self.packed(processors, now, |u| u.revision == target && self.may_run(u, homes))
         } else {
             let is_wanted = |u: &Processor| wants_new.is_none_or(|w| (u.revision == target) == w);
@@ -85,43 +86,44 @@
         self.zone_uses.get(zone).copied().unwrap_or(ZoneUse::Open)
     }
 
-    /// Whether a processor may be sent anything.
+    /// Whether a processor accepts new requests: it does not drain and its zone is not evacuated.
     fn is_usable(&self, processor: &Processor) -> bool {
         !processor.draining && self.zone_use(&processor.zone) != ZoneUse::Evacuated
     }
 
-    /// Whether a processor is cold, or may be without the listing saying so yet.
+    /// Whether a processor is cold, or is in a zone returning from an evacuation, where the
+    /// membership may not list it as cold yet.
     fn may_be_cold(&self, processor: &Processor) -> bool {
         processor.cold || self.zone_use(&processor.zone) == ZoneUse::Returning
     }
 
-    /// Whether a processor may be cold and its service bounds what such ones are sent.
+    /// Whether a processor may be cold and its service limits the rate to cold processors.
     fn is_metered_cold(&self, service: &Service, processor: &Processor) -> bool {
         service.cold_per_s > 0.0 && self.may_be_cold(processor)
     }
 
-    /// Whether a processor may be sent one more message now, as far as it is cold.
+    /// Whether the cold-processor rate limit, if it applies, allows another message now.
     fn has_cold_token(&self, service: &Service, processor: &Processor, now: u64) -> bool {
         !self.is_metered_cold(service, processor) || self.cold_buckets.has_token(&processor.id, service.cold_per_s, now)
     }
 
-    /// Whether any processor may be cold whose service, as the test says, bounds what it is
-    /// sent.
+    /// Whether there is any possibly cold processor whose service limits the rate to cold
+    /// processors, as told by `is_metered`.
     pub fn has_metered_cold(&self, is_metered: impl Fn(&str) -> bool) -> bool {
         self.membership.processors.iter().any(|u| self.may_be_cold(u) && !u.draining && is_metered(&u.service))
     }
 
-    /// The leader grants these cold processors to this owner until then.
+    /// Takes in a lease on cold processors that the leader has granted to this owner.
     pub fn grant_cold(&mut self, processors: &[String], now: u64, until: u64) {
         self.cold_buckets.grant(processors, now, until);
     }
 
-    /// Whether a processor stands in one of the homes.
+    /// Whether the homes allow the processor's region.
     fn may_run(&self, processor: &Processor, homes: &Homes) -> bool {
         !homes.is_bound() || self.regions.get(&processor.zone).is_some_and(|region| homes.allows(region))
     }
 
-    /// The first of the processors that fit, by id, that has room: every owner comes to the
+    /// The first fitting processor, by id, that has spare capacity, so that all owners choose the
     /// same one.
     fn packed<'a>(
         &self,
@@ -129,7 +131,7 @@
         now: u64,
         fits: impl Fn(&Processor) -> bool,
     ) -> Option<&'a Processor> {
-        // Cold ones are slow for a while: they would be judged for that.
+        // Cold processors are slow for a while, which would count against the new revision.
         let is_apt = |u: &&Processor| self.is_usable(u) && !self.may_be_cold(u) && fits(u);
         processors.iter().filter(is_apt).find(|u| {
             let (load, s) = self.load(&u.id, now);
@@ -137,8 +139,9 @@
         })
     }
 
-    /// The least loaded, near ones before far ones. Of equals each owner takes
-    /// another first: they know little of each other's runs, and would else meet.
+    /// The least loaded fitting processor, with nearer zones preferred. Ties are broken by this
+    /// owner's own search order: owners know little of each other's attempts and would otherwise
+    /// all choose the same processor.
     fn best<'a>(
         &self,
         service: &Service,
