--- a/crates/store/src/takeover.rs
+++ b/crates/store/src/takeover.rs
@@ -1,9 +1,9 @@
-//! What a store node relies on between its own restart and the moment when the leader
-//! tells it the cluster's membership: the membership that it stored in its former
-//! incarnation. Pure; the service reads, stores and asks.
+//! Decides which delivery nodes a new owner queries and which count as silent. Between a restart
+//! and the first membership from the leader, a store node relies on the membership that it stored
+//! in its previous incarnation. Pure functions; `service` does the I/O.
 //!
-//! Keeps the rule that a new owner asks every delivery node that may hold an attempt, and
-//! that a node which was not heard does not count as one that holds nothing.
+//! Invariant: a new owner queries every delivery node that may hold an attempt, and a missing
+//! answer never counts as "holds nothing".
 
 use rpc::messages::{Membership, Node};
 use std::collections::HashSet;
@@ -11,7 +11,8 @@
 /// The role of delivery nodes in a membership.
 const DELIVERY_ROLE: &str = "front";
 
-/// The form in which a membership is stored: whole, without the history of removals.
+/// The form in which a membership is stored: complete, without the removal history that serves
+/// incremental updates.
 pub fn stored_form(membership: &Membership) -> Membership {
     Membership {
         version: membership.version,
@@ -22,10 +23,10 @@
     }
 }
 
-/// The delivery nodes that a new owner asks for the attempts they hold: those of the
-/// current membership, and those of the former one that it does not name. `None` while
-/// no leader has told the membership to this incarnation: a node that is not known cannot
-/// be asked, so the owner waits.
+/// The delivery nodes that a new owner queries for the attempts they hold: those of the current
+/// membership, and those of the previous incarnation's membership that it does not list. `None`
+/// until this incarnation has received a membership from a leader: an unknown node cannot be
+/// queried, so the owner waits.
 pub fn delivery_nodes_to_ask(current: &Membership, former: &[Node]) -> Option<Vec<Node>> {
     if current.version == 0 {
         return None;
@@ -38,9 +39,8 @@
     Some(all)
 }
 
-/// The delivery nodes that may hold an attempt unknown to the new owner: those that were
-/// asked and did not answer, and those that were given an attempt, by the log, and were
-/// not asked.
+/// The delivery nodes that may hold an attempt unknown to the new owner: those that were queried
+/// and did not answer, and those to which the log has a dispatch and which were not queried.
 pub fn silent_nodes<'a>(
     answered: &HashSet<String>,
     asked: impl IntoIterator<Item = &'a str>,
