--- a/crates/store/src/uncommitted.rs
+++ b/crates/store/src/uncommitted.rs
@@ -1,12 +1,12 @@
-//! Accepts that are written and not committed yet, so that another try at one waits for it
-//! in place of being written a second time. Only this process knows them: what a former owner
-//! wrote is found by the fold.
+//! Index of accepts that are appended but not committed yet: a retry waits for the pending accept
+//! instead of being appended a second time. It only covers this process; repeats of what a former
+//! owner appended are detected when the record is applied.
 
 use crate::scheduler::Key;
 use rpc::messages::{Item, OperationId};
 use std::collections::HashMap;
 
-/// By what another try at a message is known.
+/// The fields by which a retry of an accept is recognised.
 #[derive(Clone, Debug)]
 pub struct AcceptNames {
     tenant: String,
@@ -15,35 +15,34 @@
 }
 
 impl AcceptNames {
-    /// Those of a message.
     pub fn of(item: &Item) -> AcceptNames {
         AcceptNames { tenant: item.tenant.clone(), id: item.id.clone(), operation: item.operation }
     }
 }
 
-/// The accepts of all partitions that are not committed yet.
+/// The uncommitted accepts of all partitions.
 #[derive(Debug, Default)]
 pub struct UncommittedAccepts {
     names: HashMap<Key, AcceptNames>,
-    /// By partition, tenant and id.
+    /// Log positions by partition, tenant and id.
     ids: HashMap<(u32, String, String), u64>,
     operations: HashMap<(u32, OperationId), u64>,
 }
 
 impl UncommittedAccepts {
-    /// The accept that a message would repeat.
+    /// The uncommitted accept that this message is a retry of.
     pub fn find(&self, partition: u32, item: &Item) -> Option<Key> {
         let by_id = self.ids.get(&(partition, item.tenant.clone(), item.id.clone()));
         let by_operation = || self.find_operation(partition, item.operation?);
         by_id.map(|position| (partition, *position)).or_else(by_operation)
     }
 
-    /// The accept that keeps an operation.
+    /// The uncommitted accept with the given operation.
     pub fn find_operation(&self, partition: u32, operation: OperationId) -> Option<Key> {
         self.operations.get(&(partition, operation)).map(|position| (partition, *position))
     }
 
-    /// Takes in what was written.
+    /// Adds an accept that was appended.
     pub fn insert(&mut self, key: Key, names: AcceptNames) {
         let (partition, position) = key;
         self.ids.insert((partition, names.tenant.clone(), names.id.clone()), position);
@@ -53,7 +52,7 @@
         self.names.insert(key, names);
     }
 
-    /// It is committed, as a message or as a repeat of one.
+    /// Removes an accept that was committed, as a new message or as a repeat of one.
     pub fn forget(&mut self, key: Key) {
         let Some(names) = self.names.remove(&key) else { return };
         self.ids.remove(&(key.0, names.tenant, names.id));
@@ -62,7 +61,7 @@
         }
     }
 
-    /// This node does not own the partition any more.
+    /// Removes all accepts of a partition that this node no longer owns.
     pub fn forget_partition(&mut self, partition: u32) {
         let gone: Vec<Key> = self.names.keys().filter(|key| key.0 == partition).copied().collect();
         for key in gone {
