--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -1,5 +1,5 @@
-//! The shell of a store node: carries out the effects of its partitions' state
-//! machines, keeps the lease, and gives deliveries to the delivery nodes.
+//! The store service: executes the effects of its partitions' state machines, renews the owner
+//! lease and hands deliveries to the delivery nodes.
 
 mod audit;
 mod cold;
@@ -30,7 +30,7 @@
 use wal::{Op, Wal, key};
 
 enum Waiter {
-    /// For an accept, or for the placement of an operation.
+    /// Waits for an accept or for a placement.
     Accept(Responder),
     Report(Responder),
 }
@@ -38,23 +38,25 @@
 struct StoreState {
     replicas: BTreeMap<u32, PartitionReplica>,
     scheduler: DeliveryScheduler,
-    /// Who waits for a position to be committed.
+    /// Requests to answer once a log position is committed.
     waiters: HashMap<Key, Vec<Waiter>>,
-    /// Accepts that are not committed yet.
     fresh: UncommittedAccepts,
-    /// Reports that are written and not committed yet: the attempt, and where.
+    /// By message, the report that is appended but not committed yet: its attempt and its log
+    /// position.
     answering: HashMap<Key, (u64, u64)>,
-    /// Partitions taken over whose delivery nodes have not all answered, and where
-    /// their logs ended then: what came after that nobody else can have given out.
+    /// Partitions taken over for which the query of the delivery nodes is not finished, with the
+    /// end of the log at the take-over. Messages after it cannot have been dispatched by a former
+    /// owner.
     asking: HashMap<u32, u64>,
-    /// Where tenants' limits are counted.
+    /// Present if tenants' limits are enforced.
     quota: Option<quota::QuotaState>,
-    /// The revision of the configuration that queues were last chosen by.
+    /// The configuration revision by which messages were last assigned to queues.
     queued_by_revision: u64,
     lease_until: u64,
+    /// By partition, messages whose call-back was delivered and not recorded in the log yet.
     notified: HashMap<u32, Vec<u64>>,
     leaving: bool,
-    /// Store machines whose disks do not keep up, as the control nodes know them.
+    /// Store nodes whose disks are slow or do not answer, as reported by the leader.
     lagging: Vec<String>,
     memory_limit: usize,
 }
@@ -64,52 +66,50 @@
     session: Arc<Session>,
     rpc_clients: Arc<RpcClients>,
     wal: Wal,
-    /// The nodes of the membership that was stored when this process began.
+    /// The nodes of the membership that was on disk when this process started.
     former_nodes: Vec<Node>,
     shared: Mutex<StoreState>,
     wake: Notifier,
-    /// A message waits for a share of its tenant's limit.
+    /// Signalled when a message starts to wait for a token of its tenant's limit.
     quota_wanted: Notifier,
     synced: mpsc::UnboundedSender<(u32, u64, u64)>,
     start: Instant,
-    /// The cluster's time. A lock of its own: it is looked at while the other one is held.
+    /// The cluster time. It has its own lock because it is read while `shared` is locked.
     cluster_time: Mutex<CarriedTime>,
 }
 
 impl StoreService {
+    /// Milliseconds on this process's steady clock. They start at an offset of 1,000,000.
     fn now(&self) -> u64 {
         self.start.elapsed().as_millis() as u64 + 1_000_000
     }
 
-    /// The cluster's time; None before the leader has told it.
+    /// The cluster time; `None` until the leader has sent it.
     fn cluster_time(&self) -> Option<u64> {
         self.cluster_time.lock().unwrap().time(self.now())
     }
 
-    /// A partition's time, for what its owner writes now.
+    /// The partition's time for a record that its owner appends now.
     fn owner_time(&self, i: &mut StoreState, partition: u32) -> u64 {
         let (cluster, now) = (self.cluster_time(), self.now());
         i.replicas.get_mut(&partition).map_or(0, |m| m.owner_time(cluster, now))
     }
 
-    /// Whether an owner may write by its time: not in a process that has had no lease yet,
-    /// with which the cluster's time comes.
+    /// Whether an owner may append records with its time. False in a process that has not had a
+    /// lease yet, as the cluster time comes with the lease.
     fn is_timed(&self, i: &StoreState, partition: u32) -> bool {
         let runs = i.replicas.get(&partition).is_some_and(|m| m.time(self.now()).is_some());
         runs || i.lease_until > 0 || self.cluster_time().is_some()
     }
 
+    /// The given fraction of `quietMs`, in milliseconds.
     fn ratio(&self, part: f64) -> u64 {
         (self.settings.constraints.quiet_ms / part) as u64
     }
 
-    // ---- calls from other nodes ----
-
     fn timing(&self) -> Timing {
         timing(&self.settings)
     }
-
-    // ---- work that comes with time ----
 }
 
 fn accepted(outcome: AcceptOutcome, position: u64, owner: &str) -> Body {
@@ -144,7 +144,7 @@
     Routes { revision: t.revision, routes, ..Routes::default() }
 }
 
-/// Runs a store node until it is told to stop.
+/// Runs a store node until `stop` becomes true.
 pub async fn run(
     settings: Settings,
     mut stop: watch::Receiver<bool>,
@@ -168,22 +168,22 @@
                 Ok(m) => {
                     metas.insert(p, m);
                 }
-                Err(e) => broken = Some(format!("partition {p}: {e}")),
+                Err(e) => broken = Some(format!("partition {p}: cannot decode the stored metadata: {e}")),
             },
             b'd' => match DiskIdentity::decode(v) {
                 Ok(b) => birth = Some(b),
-                Err(e) => broken = Some(format!("the disk's own record: {e}")),
+                Err(e) => broken = Some(format!("cannot decode the stored disk identity: {e}")),
             },
             b'r' => match Membership::decode(v) {
                 Ok(m) => former = m,
-                Err(e) => broken = Some(format!("the membership: {e}")),
+                Err(e) => broken = Some(format!("cannot decode the stored membership: {e}")),
             },
             b's' => {
                 snaps.insert(p, Bytes::copy_from_slice(v));
             }
             b'l' => match LogEntry::decode(Bytes::copy_from_slice(v)) {
                 Ok(e) => logs.entry(p).or_default().push((n, e)),
-                Err(e) => broken = Some(format!("partition {p}: entry {n}: {e}")),
+                Err(e) => broken = Some(format!("partition {p}: cannot decode log entry {n}: {e}")),
             },
             _ => {}
         }
@@ -194,8 +194,8 @@
     let mut birth =
         birth.unwrap_or(DiskIdentity { empty: metas.is_empty() && !settings.initial_start, ..DiskIdentity::default() });
     let incarnation = birth.live(rpc::new_incarnation());
-    // Before anything else: a disk that was emptied must not pass for a full one
-    // because something was written to it since.
+    // The first write: an emptied disk must be recorded as such before any other data on it makes
+    // it look like an intact one.
     wal.write(vec![Op::Put(key(b'd', 0, 0), birth.encode_to_vec().into())], || ());
     let mut replicas = BTreeMap::new();
     for (p, meta) in metas {
@@ -242,7 +242,7 @@
             notified: HashMap::new(),
             leaving: false,
             lagging: Vec::new(),
-            // Messages may fill half of the memory.
+            // Half of the memory is for messages.
             memory_limit: (settings.limits.memory_mb << 20) as usize / 2,
         }),
         wake: Notifier::new(),
@@ -273,7 +273,7 @@
         while let Some((partition, term, end)) = synced_rx.recv().await {
             let mut i = p.shared.lock().unwrap();
             p.step(&mut i, partition, |m, now, out| m.synced(term, end, now, out));
-            // Several may have become durable by one sync.
+            // One sync may have made several writes durable.
             while let Ok((partition, term, end)) = synced_rx.try_recv() {
                 p.step(&mut i, partition, |m, now, out| m.synced(term, end, now, out));
             }
@@ -325,7 +325,7 @@
     Ok(())
 }
 
-/// How a delivery missed its answer, by its report.
+/// The kind of failure that the report of an attempt describes.
 fn gap(outcome: Outcome, status: u32) -> DeliveryFailure {
     match (outcome, status) {
         (Outcome::NotRun, 0) => DeliveryFailure::NotSent,
