--- a/crates/store/src/service/audit.rs
+++ b/crates/store/src/service/audit.rs
@@ -1,26 +1,27 @@
-//! The audit of an owner's schedule: every message that may run is on its way to a run, and what
-//! the others wait for is counted.
+//! Audits an owner's schedule: checks that every message that may run is scheduled, and counts what
+//! the other pending messages wait for.
 //!
-//! Invariant (docs/design.md): a pending message that is the first of its order is queued for a
-//! service that the configuration has, waits for a time, is under way, or is being answered.
+//! Invariant (docs/design.md): a pending message at the head of its order key is queued for a
+//! service of the configuration, delayed, in flight, or waits for its report to be committed.
 
 use super::*;
 
-/// One in so many ticks audits the schedule.
+/// The number of ticks between two audits.
 const AUDIT_TICKS: u64 = 32;
 
-/// What the pending messages of this node's partitions wait for.
+/// Counts the unscheduled pending messages of this node's partitions by what they wait for.
 #[derive(Default)]
 struct Waiting {
     behind_another: u64,
     answering: u64,
     taken_over: u64,
-    /// Neither scheduled nor waiting for anything known.
+    /// Neither scheduled nor waiting for a known reason: violations of the invariant.
     unscheduled: Vec<Key>,
 }
 
 impl StoreService {
-    /// Audits the schedule from time to time, and mends what it finds.
+    /// Audits the schedule every `AUDIT_TICKS` ticks and schedules the messages that it finds
+    /// unscheduled.
     pub(super) fn audit(&self, i: &mut StoreState, rounds: u64) {
         if !rounds.is_multiple_of(AUDIT_TICKS) || !self.leased(i) {
             return;
@@ -70,7 +71,7 @@
         telemetry::check_invariant(
             "invariant_message_unscheduled",
             unscheduled.len() as u64,
-            format_args!("messages that nothing schedules, the first {first:?}"),
+            format_args!("pending messages that are not scheduled, first {first:?}"),
         );
     }
 
@@ -83,7 +84,7 @@
         telemetry::check_invariant(
             "invariant_queue_unserved",
             unserved.len() as u64,
-            format_args!("queues of services that the configuration lacks, the first {first:?}"),
+            format_args!("queues of services that are not in the configuration, first {first:?}"),
         );
     }
 }
