--- a/crates/store/src/service/cold.rs
+++ b/crates/store/src/service/cold.rs
@@ -1,10 +1,10 @@
-//! Leases on cold processors of services that bound what such ones are sent (`coldPerS`): the
-//! leader grants each of them to one owner at a time.
+//! Leases on cold processors of services that limit the rate to them (`coldPerS`). The leader
+//! grants each processor to one owner at a time.
 
 use super::*;
 
 impl StoreService {
-    /// Keeps the leases while there is any such processor; asks nothing else.
+    /// Renews the leases. Sends no requests while there is no such processor.
     pub(super) async fn keep_cold_leases(self: Arc<Self>) {
         let period = Duration::from_millis(self.settings.lease_ms() / 3);
         loop {
