--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -1,9 +1,9 @@
-//! Dispatch: which message goes to which processor, and the call-backs that are due.
+//! Dispatches queued messages to processors and sends due call-backs.
 
 use super::*;
 
 impl StoreService {
-    /// Queues a message if it may run: now, when it is due, or when its turn comes.
+    /// Schedules a message that may run: queues it if it is due, else delays it until then.
     pub(super) fn schedule(&self, i: &mut StoreState, k: Key, now: u64) {
         let Some(m) = i.replicas.get(&k.0) else { return };
         let Some(w) = m.state.pieces.get(&k.1) else { return };
@@ -15,7 +15,7 @@
             return;
         }
         let Some(time) = m.time(now) else {
-            // Known with the lease, without which nothing is given out.
+            // The time comes with the lease, and nothing is dispatched without one.
             i.scheduler.later(k, now + self.ratio(100.0));
             return;
         };
@@ -24,13 +24,13 @@
             i.scheduler.later(k, now + (due - time));
             return;
         }
-        // Since when it is due, by this process's steady clock.
+        // When the message became due, on this process's steady clock.
         let due_since = now.saturating_sub(time.saturating_sub(w.due_ms));
         let queue = self.session.with_known(|known| QueueId::of(&known.configuration, &w.item));
         match queue {
             Some(queue) => i.scheduler.ready(k, queue, due_since),
-            // The message is from a node with a newer configuration, which comes; or its route
-            // is gone, which the fold is about to be told.
+            // Either the message is from a node with a newer configuration, which will arrive
+            // here, or its route was removed, which a log record is about to say.
             None => {
                 telemetry::count("routes_not_known_yet");
                 i.scheduler.later(k, now + self.ratio(40.0));
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Chooses the queues of all waiting messages anew where the configuration has changed: a
-    /// route may have other services, or a service be gone.
+    /// Reassigns queued messages to queues after a configuration change: a route may have got
+    /// other services, or a service may have been removed.
     fn choose_queues(&self, i: &mut StoreState, configuration: &config::ConfigurationIndex, now: u64) {
         if i.queued_by_revision == configuration.revision {
             return;
@@ -57,11 +57,11 @@
         }
     }
 
-    /// The part of a metered service's rate that this owner may use. Where tries at one
-    /// operation have to meet, or messages are bound to regions, several partitions may keep
-    /// messages for such a service; each owner has the part of the partitions that it owns, and
-    /// one that owns none but has messages still, as of a route that was given another service,
-    /// that of one partition.
+    /// The fraction of a rate-limited service's rate that this owner may use. Where attempts at
+    /// one operation must reach the same partition, or messages are bound to regions, several
+    /// partitions may keep messages for such a service. Each owner then gets the share of the
+    /// partitions that it owns. An owner of none of them that still has messages, as of a route
+    /// that was changed to another service, gets the share of one partition.
     fn metered_share(&self, i: &StoreState, known: &agent::ClusterView, service: &config::Service) -> f64 {
         let configuration = &known.configuration;
         let has_operations = self.settings.constraints.key_window_s > 0.0;
@@ -79,7 +79,7 @@
         own.max(1) as f64 / partitions.len() as f64
     }
 
-    /// Gives out what can be given out.
+    /// Dispatches all messages that can be sent now. Returns when to run again at the latest.
     pub(super) fn pump(self: &Arc<Self>) -> u64 {
         let now = self.now();
         let known = self.session.known();
@@ -99,7 +99,8 @@
         }
         self.choose_queues(i, &known.configuration, now);
         for k in i.scheduler.overdue(now) {
-            // The delivery node was to report by now: silence, no attempt.
+            // The delivery node did not report in time: the outcome is unknown, and no failed
+            // attempt is counted.
             telemetry::count("runs_overdue");
             i.scheduler.land(k);
             let pause = i.scheduler.pause(k);
@@ -115,14 +116,14 @@
             while let Some(k) = i.scheduler.first_ready(&queue, now, target_start) {
                 let asked = i.asking.get(&k.0).is_some_and(|end| k.1 <= *end);
                 if asked || i.replicas.get(&k.0).is_none_or(|m| !m.open()) {
-                    // Taken over or moving: another look comes with the next step.
+                    // The partition was just taken over, or it is moving: retried later.
                     i.scheduler.unqueue(k);
                     i.scheduler.later(k, now + self.ratio(100.0));
                     continue;
                 }
                 let item = i.replicas.get(&k.0).and_then(|m| m.state.pieces.get(&k.1)).map(|w| &w.item);
                 if item.and_then(|item| QueueId::of(&known.configuration, item)).is_none_or(|now| now != queue) {
-                    // Its route was changed or dropped since it was queued: looked at anew.
+                    // Its route was changed or removed since it was queued: rescheduled.
                     i.scheduler.unqueue(k);
                     i.scheduler.later(k, now + self.ratio(400.0));
                     continue;
@@ -149,6 +150,8 @@
         wake
     }
 
+    /// Appends the dispatch record of a message and sends the attempt to the delivery node.
+    /// False if the message cannot be dispatched now.
     #[allow(clippy::too_many_arguments)]
     pub(super) fn dispatch(
         self: &Arc<Self>,
@@ -185,7 +188,7 @@
             conn_limit: service.conn_limit,
             revoked: false,
         };
-        // A delivery node waits a twentieth longer than the processor may take.
+        // A delivery node waits 5 % longer than the route's time-out.
         i.scheduler.launch(k, &choice, route, now + timeout * 21 / 20 + self.ratio(8.0));
         i.scheduler.name(k, run.term, attempt);
         self.carry_out(i, k.0, out);
@@ -195,7 +198,8 @@
         true
     }
 
-    /// Sees one delivery into the delivery node's hands.
+    /// Sends one attempt to the delivery node. If it is certain that the node does not have it,
+    /// the message is scheduled again.
     pub(super) async fn run(self: Arc<Self>, run: Run, choice: Target) {
         let k = (run.partition, run.position);
         let (term, attempt) = (run.term, run.attempt);
@@ -207,8 +211,8 @@
             Ok(Body::RunAck(a)) if a.taken => return,
             Ok(_) | Err(ExecutionOutcome::NotRun) => {}
             Err(_) => {
-                // It may have it, or get it yet, by a connection that was replaced: it
-                // is told that this attempt is given up, and says whether it was taken.
+                // The node may have the attempt, or may still receive it over a connection that
+                // was replaced. Revoking it tells whether the node has taken it.
                 let mut clear = false;
                 for _ in 0..3 {
                     match end.call(Body::Run(revoke.clone()), wait).await {
@@ -222,7 +226,7 @@
                     }
                 }
                 if !clear && !rpc::refuses(&choice.front_inner, wait).await {
-                    // Silent still: given up once such a run must be over.
+                    // No answer still: the attempt becomes overdue once it must have ended.
                     return;
                 }
             }
@@ -237,7 +241,7 @@
         }
     }
 
-    /// Call-backs that are owed.
+    /// Sends the call-backs that are due.
     pub(super) fn notices(self: &Arc<Self>, i: &mut StoreState, now: u64) {
         let mut left = std::collections::VecDeque::new();
         while let Some((at, k)) = i.scheduler.notices.pop_front() {
