--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -1,8 +1,9 @@
-//! Regular work of the node: the partitions' ticks, planned moves, and the end of the process.
+//! Periodic work of the node: partition ticks, planned moves, and the graceful shutdown.
 
 use super::*;
 
 impl StoreService {
+    /// Runs the periodic work of all partitions. `rounds` counts the calls.
     pub(super) fn tick(self: &Arc<Self>, rounds: u64) {
         let known = self.session.known();
         let mut guard = self.shared.lock().unwrap();
@@ -44,14 +45,14 @@
                 m.tick(now, time, out);
                 m.compact(compact / 6 / parts, out);
             });
-            // Back to the preferred owner, by a planned move like any other.
+            // Return to the preferred owner, by an ordinary planned move.
             let m = &i.replicas[&p];
             if m.role == ReplicaRole::Owner && !m.is_moving() && !i.leaving && rounds.is_multiple_of(10) {
                 let preferred = m.replicas.first().cloned().unwrap_or_default();
                 let keeps_up =
                     |node: &String| !i.lagging.contains(node) && known.node(node, "store").is_some_and(|n| !n.leaving);
-                // Slow here: over to one that keeps up, until this one does again. Its copy counts
-                // until another one has come in its place.
+                // With a slow disk here, move to a node whose disk keeps up until this one
+                // recovers. This node's copy counts until another one has replaced it.
                 let to = match lag {
                     1 => m.candidates().into_iter().find(keeps_up),
                     _ => Some(preferred)
@@ -71,9 +72,10 @@
         }
     }
 
-    /// The pending messages that have ended without a run: by their time, or as their route was
-    /// replaced by another one of its name. The latter is said once they are older than what
-    /// configurations take to be known everywhere, by one that is as new as the partition's.
+    /// The pending messages to end without an attempt: those whose retention is over, and those
+    /// whose route was replaced by another one of the same name. The latter are ended only once
+    /// they are older than the time in which a configuration reaches all nodes, and only by a
+    /// configuration that is at least as new as the partition's.
     fn ended_messages(
         &self,
         replica: &PartitionReplica,
@@ -106,9 +108,9 @@
         ended
     }
 
-    /// Whether this node's copy of a partition is still to be taken by another one: it has
-    /// a new home that is not in sync yet, or there is a store machine to take its place,
-    /// which the leader is about to give it to.
+    /// Whether another node is still to take over this node's copy of a partition: its
+    /// replacement is not in sync yet, or there is a store node that the leader is about to
+    /// assign it to.
     pub(super) fn copy_due(&self, known: &agent::ClusterView, partition: u32) -> bool {
         let me = &self.settings.node;
         let all = &known.assignments.partitions;
@@ -121,7 +123,8 @@
         rpc::has_replacement(all, me, others.map(|n| n.name.as_str()))
     }
 
-    /// On SIGTERM: hand everything over by planned moves, then leave the in-sync sets.
+    /// Graceful shutdown on SIGTERM: hands over all owned partitions by planned moves, then leaves
+    /// the in-sync sets.
     pub(super) async fn leave(self: Arc<Self>) {
         let limit = Duration::from_millis((self.settings.constraints.grace_s * 800.0) as u64);
         let begun = Instant::now();
@@ -155,8 +158,8 @@
             }
             tokio::time::sleep(Duration::from_millis(self.ratio(200.0))).await;
         }
-        // What it follows stays with it until it stands elsewhere, where somebody is there
-        // to take it.
+        // Copies of followed partitions stay until they are replaced, if there is a node to take
+        // them.
         let due = || {
             let known = self.session.known();
             let i = self.shared.lock().unwrap();
@@ -188,7 +191,7 @@
         for a in asks {
             let _ = a.await;
         }
-        // What the others are still to be told travels now.
+        // Leaves time for the last messages to other nodes to be sent.
         tokio::time::sleep(Duration::from_millis(self.ratio(40.0))).await;
         telemetry::change!("left after {} ms", begun.elapsed().as_millis());
     }
