--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -1,9 +1,10 @@
-//! Effects of the partitions: what goes to disk, to other nodes and to those who wait.
+//! Executes the effects of the partition state machines: writes to disk, messages to other nodes
+//! and answers to waiting requests.
 
 use super::*;
 
 impl StoreService {
-    /// Steps one partition and carries out what comes of it.
+    /// Runs a step of one partition's state machine and executes its effects.
     pub(super) fn step(
         self: &Arc<Self>,
         i: &mut StoreState,
@@ -18,8 +19,8 @@
         self.carry_out(i, partition, out);
     }
 
-    /// Appends a record to a partition's log and sends it to the replicas, once its effects are
-    /// carried out; its position, or `None` where the partition takes none.
+    /// Appends a record to a partition's log. It is sent to the replicas when the effects are
+    /// executed. Returns its position, or `None` if the partition accepts no records.
     pub(super) fn append(
         &self,
         i: &mut StoreState,
@@ -63,7 +64,8 @@
                 Effect::Folded(changes) => self.folded(i, partition, changes),
                 Effect::TookOver { seized } => {
                     telemetry::count(if seized { "partitions_seized" } else { "partitions_taken" });
-                    // Of its own former term too: what was not committed then may not be now.
+                    // Also when this node was the owner at an earlier term: what was uncommitted
+                    // then may be missing from the log now.
                     self.forget_partition(i, partition, "");
                     let m = &i.replicas[&partition];
                     let term = m.term;
@@ -89,8 +91,8 @@
         }
     }
 
-    /// Forgets what is held in memory of a partition that this node owned until now, and tells
-    /// those who wait that it is unclear what becomes of theirs.
+    /// Drops the in-memory state of a partition that this node owned until now, and answers
+    /// waiting requests that their outcome is unclear.
     fn forget_partition(&self, i: &mut StoreState, partition: u32, owner: &str) {
         i.scheduler.drop_partition(partition);
         i.asking.remove(&partition);
@@ -108,6 +110,7 @@
         }
     }
 
+    /// Sends an order to the leader and passes the answer to the partition's state machine.
     pub(super) async fn order(self: Arc<Self>, partition: u32, order: Order) {
         let leader = self.session.with_known(|k| k.leader.clone());
         if leader.is_empty() {
@@ -124,7 +127,7 @@
         }
     }
 
-    /// The fold moved: answer who waited, and schedule.
+    /// Handles newly applied records: answers waiting requests and schedules messages.
     pub(super) fn folded(self: &Arc<Self>, i: &mut StoreState, partition: u32, changes: Vec<Change>) {
         let now = self.now();
         for c in changes {
@@ -172,14 +175,14 @@
                 _ => {}
             }
         }
-        // Reports wait for the position of their own record.
+        // A report waits until the position of its own record is committed.
         let commit = i.replicas[&partition].commit;
         let done: Vec<Key> = i.waiters.keys().filter(|k| k.0 == partition && k.1 <= commit).copied().collect();
         for k in done {
             for w in i.waiters.remove(&k).into_iter().flatten() {
                 match w {
                     Waiter::Report(p) => p.send(Body::ReportAck(ReportAck { kept: true })),
-                    // All that the fold decided was answered above.
+                    // Accepts with a decided outcome were answered above.
                     Waiter::Accept(p) => p.send(accepted(AcceptOutcome::Unclear, 0, "")),
                 }
             }
@@ -187,7 +190,7 @@
         self.wake.notify_one();
     }
 
-    /// Answers those who wait for the accept or the placement that stands at `key`.
+    /// Answers the requests that wait for the accept or the placement recorded at `key`.
     fn answer_waiters(&self, i: &mut StoreState, key: Key, answer: &Body) {
         for waiter in i.waiters.remove(&key).into_iter().flatten() {
             if let Waiter::Accept(responder) = waiter {
@@ -196,6 +199,7 @@
         }
     }
 
+    /// Creates the replica of a partition if this node has none yet.
     pub(super) fn known_partition(&self, i: &mut StoreState, id: u32) {
         let timing = self.timing();
         let incarnation = self.session.me().incarnation;
