--- a/crates/store/src/service/lease.rs
+++ b/crates/store/src/service/lease.rs
@@ -1,13 +1,14 @@
-//! The lease: how it is renewed with the leader and when the node may act by it.
+//! The owner lease: its renewal with the leader, and what depends on it.
 
 use super::*;
 
 impl StoreService {
+    /// Whether this node holds the lease now and may act as owner.
     pub(super) fn leased(&self, i: &StoreState) -> bool {
         self.now() < i.lease_until
     }
 
-    /// The latest time that the partitions here say has passed.
+    /// The latest time that is known to have passed in any partition here.
     fn reached_ms(&self) -> u64 {
         let now = self.now();
         self.shared.lock().unwrap().replicas.values().map(|m| m.reached_ms(now)).max().unwrap_or(0)
@@ -19,6 +20,7 @@
         self.wake.notify_one();
     }
 
+    /// Renews the lease with the leader for as long as the process runs.
     pub(super) async fn keep_lease(self: Arc<Self>) {
         let period = Duration::from_millis(self.settings.lease_ms() / 3);
         let mut turn = 0usize;
@@ -29,7 +31,8 @@
             let (samples, claims) = {
                 let mut i = self.shared.lock().unwrap();
                 if lag == 2 {
-                    // It could commit nothing: stop before another one takes over.
+                    // The node could not commit anything: it gives up the lease before another
+                    // node takes over.
                     if i.lease_until > 0 {
                         telemetry::change!("the disk does not answer: no owner until it does");
                     }
@@ -57,8 +60,8 @@
                     self.session.take(&ViewUpdate { leader: addr, ..ViewUpdate::default() });
                     {
                         let mut guard = self.shared.lock().unwrap();
-                        // What passed on while this node was not looking is given up
-                        // before the lease counts.
+                        // Partitions that have a newer owner are given up before the lease takes
+                        // effect.
                         for c in &a.outdated {
                             self.step(&mut guard, c.id, |m, now, out| m.assignments(c, now, out));
                         }
@@ -71,8 +74,8 @@
                     };
                     let granted_first = *granted_first.get_or_insert(asked);
                     if !timed && asked < granted_first + self.ratio(8.0) {
-                        // Soon known; without it the time since the last record is not
-                        // counted here.
+                        // The cluster time is known soon. Acting as owner without it would leave
+                        // the time since a partition's last record uncounted.
                         tokio::time::sleep(period / 6).await;
                         continue;
                     }
@@ -87,14 +90,14 @@
                     if !a.leader.is_empty() {
                         self.session.take(&ViewUpdate { leader: a.leader, ..ViewUpdate::default() });
                     } else {
-                        // It knows no leader: the others may.
+                        // This node knows no leader; the other control nodes may.
                         self.ask_leader(&seeds, &claims, period).await;
                     }
                     tokio::time::sleep(period / 6).await;
                 }
                 _ => {
                     telemetry::count("lease_misses");
-                    // The leader may have passed on: ask the others who leads.
+                    // The leader may have changed: ask the other control nodes.
                     self.ask_leader(&seeds, &claims, period).await;
                     tokio::time::sleep(period / 6).await;
                 }
@@ -102,8 +105,8 @@
         }
     }
 
-    /// How this machine's disk does: 1 when the last writes were all slow, 2 when
-    /// one is not answered.
+    /// The state of this machine's disk, as reported in `Lease::lag`: 0 if it keeps up, 1 if the
+    /// last writes were all slow, 2 if a write is not answered.
     pub(super) fn lag(&self) -> u32 {
         if self.wal.busy_for() > Duration::from_millis(self.ratio(16.0)) {
             2
@@ -112,7 +115,7 @@
         }
     }
 
-    /// Sleeps, but no longer than until the disk does otherwise than was told.
+    /// Sleeps for `period`, or until the disk state differs from the reported one.
     pub(super) async fn sleep_while(&self, lag: u32, period: Duration) {
         let end = Instant::now() + period;
         while Instant::now() < end && self.lag() == lag {
@@ -120,12 +123,12 @@
         }
     }
 
-    /// An incarnation of this node that comes after its own is known to the leader, as when
-    /// this process began by a clock that is behind.
+    /// Begins a new incarnation above `newer_incarnation`, which the leader knows and which is
+    /// above this process's own, as after a start with a clock that is behind.
     pub(super) fn relive(self: &Arc<Self>, newer_incarnation: u64) {
         let Some(incarnation) = self.session.relive(newer_incarnation) else { return };
         telemetry::count("incarnations_begun_again");
-        // An incarnation that this disk does not know was lived on another one.
+        // An incarnation that is not recorded on this disk ran on another disk.
         let birth = DiskIdentity { born: incarnation, top: incarnation, empty: false };
         self.session.reborn(incarnation);
         self.wal.write(vec![Op::Put(key(b'd', 0, 0), birth.encode_to_vec().into())], || ());
@@ -136,8 +139,8 @@
         }
     }
 
-    /// Learns from the control nodes who leads: all are asked at once, as some may be gone for
-    /// good, and a lease is over before they could be asked one by one.
+    /// Asks all control nodes for the leader. They are asked in parallel: some may be down for
+    /// good, and the lease would expire while they are asked one after the other.
     pub(super) async fn ask_leader(&self, control_nodes: &[String], claims: &[Holding], wait: Duration) {
         let (tx, mut rx) = tokio::sync::mpsc::channel(control_nodes.len().max(1));
         for f in control_nodes {
