--- a/crates/store/src/service/membership.rs
+++ b/crates/store/src/service/membership.rs
@@ -1,13 +1,13 @@
-//! The stored membership: what a leader told last, for the time between the next start
-//! of this process and the word of the leader of then.
+//! Stores the last membership received from a leader. The next process uses it until it receives
+//! one itself.
 
 use super::*;
 use crate::takeover::stored_form;
 
 impl StoreService {
-    /// Stores each membership that a leader tells, at most every eighth of `quietMs`: after
-    /// a loss of all power replicas, delivery nodes and processors are reached by it long
-    /// before the new leader can tell the next one.
+    /// Stores each new membership, at most once every eighth of `quietMs`. After a power loss of
+    /// the whole cluster, replicas, delivery nodes and processors are reachable with it long
+    /// before the new leader can send the next one.
     pub(super) async fn store_membership(self: Arc<Self>) {
         let pause = Duration::from_millis(self.ratio(8.0));
         let mut views = self.session.subscribe();
