--- a/crates/store/src/service/placements.rs
+++ b/crates/store/src/service/placements.rs
@@ -1,13 +1,13 @@
-//! Where operations and order keys are kept: answers for those that this node's partitions keep or
-//! have placed elsewhere, and places others where the asker wants them.
+//! Placement of operations and order keys: answers requests for those that this node's partitions
+//! keep or have placed in another partition, and places others where the request asks for.
 //!
-//! Invariant (docs/design/tenants.md): the log of a partition decides, so what is not folded yet is
-//! waited for and never guessed.
+//! Invariant (docs/design/tenants.md): the log of a partition decides. Records that are not applied
+//! yet are waited for; their outcome is never predicted.
 
 use super::*;
 
 impl StoreService {
-    /// Answers where a subject is kept, or places it.
+    /// Answers in which partition a subject is kept, or places it.
     pub(super) fn place(self: &Arc<Self>, i: &mut StoreState, request: Place, responder: Responder) {
         let partition = request.partition;
         if let Some(owner) = self.other_owner(i, partition) {
@@ -40,7 +40,7 @@
         self.write_placement(i, partition, Record { at_ms, entry: Some(Entry::Place(place)) }, responder);
     }
 
-    /// Writes a placement; whoever asked is answered by what the fold makes of it.
+    /// Appends a placement. The request is answered once the record is applied.
     fn write_placement(self: &Arc<Self>, i: &mut StoreState, partition: u32, record: Record, responder: Responder) {
         telemetry::count("placements_written");
         let mut effects = Vec::new();
@@ -52,7 +52,7 @@
     }
 }
 
-/// The answer that needs no record; `None` where one is to be written.
+/// The answer if it needs no new record; `None` if a placement has to be appended.
 fn known_place(replica: &PartitionReplica, request: &Place, subject: &PlacementSubject, at_ms: u64) -> Option<Body> {
     let state = &replica.state;
     let is_question = request.wanted.is_none();
@@ -66,7 +66,7 @@
             Some(accepted(AcceptOutcome::Taken, position, ""))
         }
         Some(Whereabouts::UnderWayHere) => Some(accepted(AcceptOutcome::StaysHere, 0, "")),
-        // What a former owner wrote may not be folded yet.
+        // Records of a former owner may not be applied yet.
         None if is_question && !replica.caught_up() => Some(accepted(AcceptOutcome::Elsewhere, 0, "")),
         None => is_question.then(|| accepted(AcceptOutcome::NotKnown, 0, "")),
     }
