--- a/crates/store/src/service/quota.rs
+++ b/crates/store/src/service/quota.rs
@@ -1,41 +1,41 @@
-//! Limits of tenants: an accepted message takes one token of its tenant's, which the leader
-//! grants to the owners of partitions; a message that finds none waits for an answer of the
-//! leader, for a short while.
+//! Tenant quotas: each accepted message takes one token of its tenant. The leader grants tokens to
+//! partition owners. A message without a token waits for the leader's answer for a short time.
 
 use super::*;
 use balance::{PartitionSpending, QuotaAnswer, QuotaReport, QuotaStock, QuotaTake, QuotaTerms};
 
-/// The part of `quietMs` after which shares are asked for and told at the latest.
+/// `quietMs` divided by this is the longest time between two checks for a request.
 const PERIOD_PART: f64 = 40.0;
-/// The part of `quietMs` that a message waits for a token at the most.
+/// `quietMs` divided by this is the longest time that a message waits for a token.
 const PATIENCE_PART: f64 = 50.0;
-/// The part of `quietMs` that lies between two requests at the least.
+/// `quietMs` divided by this is the shortest time between two requests.
 const PAUSE_PART: f64 = 1200.0;
-/// When a client may try again that was refused as nobody answered, in milliseconds.
+/// The retry delay for a client that was refused because the leader did not answer.
 const RETRY_MS: u64 = 1000;
 
-/// A message that waits for a token.
+/// An accept that waits for a token.
 struct WaitingAccept {
     accept: Accept,
     responder: Responder,
     until_ms: u64,
 }
 
-/// What this owner holds of tenants' limits.
+/// The tokens that this owner holds, and its exchange with the leader.
 pub(super) struct QuotaState {
     stock: QuotaStock,
     waiting: Vec<WaitingAccept>,
     sequence: u64,
     introduces: bool,
-    /// The leader that was asked last, and when.
+    /// The leader that the last request was sent to, and when.
     asked: (String, u64),
-    /// A partition was counted, or a request was not answered, since the last answer.
+    /// Whether the leader is owed a request: since its last answer a partition was counted or a
+    /// request was sent.
     is_owed: bool,
-    /// By partition, the term at which its log was looked through for accepted messages.
+    /// By partition, the term at which its recently accepted messages were counted.
     counted: HashMap<u32, u64>,
 }
 
-/// How quotas are counted by these settings; `None` where they are not.
+/// The initial quota state; `None` if the settings disable quotas.
 pub(super) fn quota_state(settings: &Settings) -> Option<QuotaState> {
     let constraints = &settings.constraints;
     (constraints.quota_window_s > 0.0).then(|| QuotaState {
@@ -55,8 +55,8 @@
 }
 
 impl StoreService {
-    /// Whether a message may be taken by its tenant's limit. One that has to wait for that is
-    /// kept, and one that is refused is answered; both are gone from the caller.
+    /// Checks a message against its tenant's quota and returns it if it is admitted. `None` if it
+    /// was kept to wait for a token or was answered with a refusal.
     pub(super) fn admit_by_quota(
         &self,
         i: &mut StoreState,
@@ -73,7 +73,7 @@
         let now = self.now();
         let take = match quota.counted.contains_key(&accept.partition) {
             true => quota.stock.take(tenant, accept.partition, waited_until_ms.is_none(), now),
-            // What was accepted before is not known yet.
+            // The messages accepted before the take-over are not counted yet.
             false => {
                 quota.stock.wait(tenant);
                 QuotaTake::Ask
@@ -101,7 +101,8 @@
         }
     }
 
-    /// Keeps the shares while any tenant with a limit sends; asks nothing else.
+    /// Exchanges reports and token grants with the leader while there is something to report or
+    /// to ask for.
     pub(super) async fn keep_quota_leases(self: Arc<Self>) {
         let period = Duration::from_millis(self.ratio(PERIOD_PART).max(1));
         let pause = Duration::from_millis(self.ratio(PAUSE_PART).max(1));
@@ -116,8 +117,8 @@
         }
     }
 
-    /// What to ask a leader, if there is anything to ask or tell it. One that knows this owner
-    /// hears from it within a lease.
+    /// The next request to the leader, if one is due. A leader that knows this owner gets one
+    /// every half of the quota lease, also without anything new.
     fn quota_request(&self, leader: &str) -> Option<(QuotaRequest, Vec<QuotaReport>)> {
         let has_limits = |known: &agent::ClusterView| known.configuration.has_limits();
         if leader.is_empty() || !self.session.with_known(has_limits) {
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Looks again at the messages that wait for a token.
+    /// Retries the accepts that wait for a token.
     fn resume_waiting(self: &Arc<Self>) {
         let mut guard = self.shared.lock().unwrap();
         let i = &mut *guard;
@@ -185,7 +186,7 @@
         }
     }
 
-    /// Counts what was accepted in the last window by partitions that were taken over since.
+    /// Counts the messages of the last window in partitions that were taken over.
     fn count_taken_over(&self, i: &mut StoreState) {
         let window_ms = (self.settings.constraints.quota_window_s * 1000.0) as u64;
         let now = self.now();
@@ -227,7 +228,7 @@
     }
 }
 
-/// Refuses a message whose tenant has no more of its limit.
+/// Refuses a message for which its tenant has no token left.
 fn refuse(responder: Responder, retry_ms: u64) {
     let outcome = AcceptOutcome::OverQuota as i32;
     let retry_ms = retry_ms.min(u64::from(u32::MAX)) as u32;
