--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -1,11 +1,12 @@
-//! Recovery of a new owner: the delivery nodes are asked what they hold.
+//! Recovery of a new owner: queries the delivery nodes for the attempts that they hold.
 
 use super::*;
 use crate::takeover::{delivery_nodes_to_ask, silent_nodes};
 use agent::ClusterView;
 
 impl StoreService {
-    /// The delivery nodes to ask, once a leader has told this incarnation the membership.
+    /// Waits until this incarnation has received a membership and returns the delivery nodes to
+    /// query.
     async fn known_delivery_nodes(&self) -> Option<Vec<Node>> {
         let mut views = self.session.subscribe();
         let to_ask = |view: &ClusterView| delivery_nodes_to_ask(&view.membership, &self.former_nodes);
@@ -13,8 +14,8 @@
         to_ask(&view)
     }
 
-    /// After a take-over: what do the delivery nodes hold? From then on they
-    /// refuse older terms.
+    /// After a take-over, asks the delivery nodes for the attempts that they hold, adopts those and
+    /// schedules the other pending messages. From the query on the nodes refuse older terms.
     pub(super) async fn ask_fronts(self: Arc<Self>, partition: u32, term: u64, seized: bool) {
         let wait = Duration::from_millis(self.ratio(16.0));
         let taken_at = self.now();
@@ -38,8 +39,8 @@
                             _ => tokio::time::sleep(wait / 8).await,
                         }
                     }
-                    // What it held ended with its process only where its machine says
-                    // that nobody listens; one that is cut off says nothing.
+                    // A refused connection shows that the process, and with it its attempts, has
+                    // ended. A node that is cut off from the network gives no such sign.
                     rpc::refuses(&h.inner, wait).await.then(Vec::new)
                 }),
             ));
@@ -52,7 +53,7 @@
             }
             names.push(name);
         }
-        // What is held is known by its position in the fold: it waits for that.
+        // Held attempts are matched to messages by position, so the log has to be applied first.
         loop {
             {
                 let i = self.shared.lock().unwrap();
@@ -95,8 +96,8 @@
         let silent = silent_nodes(&answered, names.iter().map(String::as_str), at_work.map(|w| w.node.as_str()));
         let owed: Vec<u64> = m.state.pieces.iter().filter(|(_, w)| w.owes_notice()).map(|(p, _)| *p).collect();
         for pos in pending {
-            // Silence is not "nothing": what was last given to a node that did not
-            // answer waits until that attempt cannot be running any more.
+            // A missing answer does not mean that nothing is held: a message last dispatched to
+            // such a node waits until that attempt cannot be running any more.
             let w = &i.replicas[&partition].state.pieces[&pos];
             let silence = Silence { any: seized && !silent.is_empty(), last: silent.contains(&w.node) };
             let over = silence.until(!w.item.order_key.is_empty(), w.sent_ms, taken, longest(w));
