--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of other processes: messages to take in, reports of runs, look-ups, status.
+//! Handles requests of other processes: accepts, reports of attempts, look-ups and status.
 
 use super::*;
 
@@ -28,8 +28,8 @@
         }
     }
 
-    /// Takes a message in. `waited_until_ms`: it has waited for a share of its tenant's limit,
-    /// and may until then.
+    /// Accepts a message. `waited_until_ms` is set if it has waited for a token of its tenant's
+    /// limit already: the time until which it may wait.
     pub(super) fn accept(
         self: &Arc<Self>,
         i: &mut StoreState,
@@ -71,7 +71,8 @@
             return;
         }
         if !m.state.has_route(&a.item.route) {
-            // Older news than the front has, or newer.
+            // If the partition's routes are at least as new as the front's, the route does not
+            // exist; otherwise they may still be updated.
             let outcome =
                 if m.state.revision >= a.revision { AcceptOutcome::NoRoute } else { AcceptOutcome::Elsewhere };
             responder.send(accepted(outcome, 0, ""));
@@ -99,8 +100,8 @@
         self.carry_out(i, p, out);
     }
 
-    /// Who owns a partition whose owner this node is not, or which takes nothing now; empty if
-    /// that is not known.
+    /// `None` if this node owns the partition and can append to it now. Otherwise the owner to
+    /// ask, which is empty if not known.
     pub(super) fn other_owner(&self, i: &StoreState, partition: u32) -> Option<String> {
         match i.replicas.get(&partition) {
             Some(replica) if replica.open() && self.leased(i) => None,
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Whether so many bytes more may be kept for messages of a rank.
+    /// Whether there is room for `bytes` more of messages of the given rank.
     pub(super) fn has_room(&self, i: &StoreState, rank: u32, bytes: usize) -> bool {
         let held: usize = i.replicas.values().map(|replica| replica.state.weight()).sum();
         let disk = (self.settings.limits.disk_mb << 20) as usize;
@@ -117,9 +118,9 @@
         room.admits(rank, held + bytes, self.wal.used_bytes() as usize)
     }
 
-    /// Whether the configuration that is known here says what a message is bound by: a process that
-    /// has just begun may own a partition before it knows any, and a route's name may have passed
-    /// to another route.
+    /// Whether the configuration known here has the tenant and the route of a message, and so the
+    /// rules that apply to it. A process that has just started may own a partition before it has
+    /// a configuration, and another route may have got the route's name.
     fn can_judge(&self, item: &Item) -> bool {
         self.session.with_known(|known| {
             let configuration = &known.configuration;
@@ -128,7 +129,7 @@
         })
     }
 
-    /// Whether a message may be kept in this region, as far as is known here.
+    /// Whether a message may be kept in this region, by the configuration known here.
     fn may_keep(&self, item: &Item) -> bool {
         let homes = self.session.with_known(|known| known.configuration.homes_on(&item.route, &item.tenant));
         homes.is_none_or(|homes| homes.allows(&self.settings.region))
@@ -141,8 +142,8 @@
             responder.send(Body::ReportAck(ReportAck { kept: false }));
             return;
         }
-        // Of an attempt that was given up: it says what became of that one, and another
-        // is out still.
+        // A report of an attempt that was given up. It says nothing about the attempt that is in
+        // flight now.
         let outdated = i.scheduler.outdated(k, r.term, r.attempt);
         if outdated {
             telemetry::count("reports_outdated");
@@ -171,8 +172,8 @@
             return;
         }
         match outcome {
-            // Told to a former owner already: another record of it would change nothing, and the
-            // message would wait for that for ever.
+            // Reported to a former owner already. Another record of it would change nothing, and
+            // the message would wait forever for an effect.
             Outcome::Failed if m.state.is_failure_counted(k.1, r.attempt) => {
                 telemetry::count("failures_told_again");
                 responder.send(Body::ReportAck(ReportAck { kept: true }));
@@ -185,7 +186,7 @@
                 if let Some((attempt, at)) = i.answering.get(&k).copied()
                     && attempt == r.attempt
                 {
-                    // Reported again while it is on its way to the disks.
+                    // A repeated report whose record is not committed yet.
                     i.waiters.entry((k.0, at)).or_default().push(Waiter::Report(responder));
                     return;
                 }
@@ -198,7 +199,7 @@
                         i.answering.insert(k, (r.attempt, pos));
                         i.waiters.entry((k.0, pos)).or_default().push(Waiter::Report(responder));
                     }
-                    // It is reported again; until then the message stays scheduled.
+                    // The delivery node reports it again; until then the message stays scheduled.
                     None => {
                         responder.send(Body::ReportAck(ReportAck { kept: false }));
                         let pause = i.scheduler.pause(k);
@@ -222,7 +223,7 @@
         self.wake.notify_one();
     }
 
-    /// What a message is, as far as sending it again goes.
+    /// Whether and how a message may be sent again.
     pub(super) fn class(&self, i: &StoreState, k: Key) -> RetrySafety {
         let Some(w) = i.replicas.get(&k.0).and_then(|m| m.state.pieces.get(&k.1)) else { return RetrySafety::Message };
         let dedupes = self.session.with_known(|s| {
@@ -237,8 +238,8 @@
         }
     }
 
-    /// Whether a message's body may be sent to the region of whoever asks for it. Of a message
-    /// whose route is gone the region of its partition is what is left of its homes.
+    /// Whether a message's body may be sent to the region of the requester. If the message's route
+    /// was removed, the only home still known is the region of its partition.
     fn may_be_sent_to(&self, lookup: &Lookup, item: &Item) -> bool {
         let region = &lookup.region;
         self.session.with_known(|known| match known.configuration.homes_on(&item.route, &item.tenant) {
@@ -251,8 +252,8 @@
         })
     }
 
-    /// What this node knows of a message. Only the owner says in which state a message is, or that
-    /// there is none; bytes that are committed are the same in each copy.
+    /// Looks a message up. Only the owner tells the state of a message, or that there is none.
+    /// Bodies may come from any replica, as committed bytes are the same in each copy.
     pub(super) fn lookup(&self, i: &StoreState, l: &Lookup) -> Found {
         let Some(replica) = i.replicas.get(&l.partition) else { return Found::default() };
         let speaks = replica.role == ReplicaRole::Owner && self.leased(i);
