--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -80,11 +80,11 @@
 #[derive(Clone, Copy)]
 pub struct SchedulerTiming {
     /// How long a load report is taken into account.
-    pub load_ms: u64,
+    pub load_report_ttl_ms: u64,
     /// The first back-off after a failure; it doubles up to the maximum.
-    pub pause_ms: u64,
+    pub initial_backoff_ms: u64,
     /// The maximum back-off.
-    pub longest_ms: u64,
+    pub max_backoff_ms: u64,
 }
 
 pub struct DeliveryScheduler {
@@ -345,7 +345,7 @@
     pub fn pause(&mut self, key: Key) -> u64 {
         let n = self.pauses.entry(key).or_insert(0);
         *n += 1;
-        (self.timing.pause_ms << (*n - 1).min(6)).min(self.timing.longest_ms)
+        (self.timing.initial_backoff_ms << (*n - 1).min(6)).min(self.timing.max_backoff_ms)
     }
 
     /// Sets the fraction of a rate-limited service that this owner may use.
@@ -387,7 +387,7 @@
         static NONE: ProcessorState =
             ProcessorState { in_flight: 0, foreign: 0, told_at: 0, failures: 0, shut_until: 0 };
         let s = self.processors.get(id).unwrap_or(&NONE);
-        let foreign = if now < s.told_at + self.timing.load_ms { s.foreign } else { 0 };
+        let foreign = if now < s.told_at + self.timing.load_report_ttl_ms { s.foreign } else { 0 };
         (s.in_flight + foreign, s)
     }
 
@@ -517,12 +517,12 @@
             Outcome::NotRun if r.status == 409 => {}
             Outcome::NotRun if r.status == 503 || r.status == 429 => {
                 // The processor is full with the work of other senders.
-                s.shut_until = now + timing.pause_ms;
+                s.shut_until = now + timing.initial_backoff_ms;
             }
-            Outcome::NotRun if r.status == 421 => s.shut_until = now + timing.longest_ms * 4,
+            Outcome::NotRun if r.status == 421 => s.shut_until = now + timing.max_backoff_ms * 4,
             _ => {
                 s.failures += 1;
-                s.shut_until = now + (timing.pause_ms << s.failures.min(6)).min(timing.longest_ms);
+                s.shut_until = now + (timing.initial_backoff_ms << s.failures.min(6)).min(timing.max_backoff_ms);
             }
         }
     }
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -222,9 +222,9 @@
     session.begin_with(former);
     let (synced, mut synced_rx) = mpsc::unbounded_channel();
     let scheduler_pace = SchedulerTiming {
-        load_ms: (quiet / 16.0) as u64,
-        pause_ms: (quiet / 64.0) as u64,
-        longest_ms: (quiet / 4.0) as u64,
+        load_report_ttl_ms: (quiet / 16.0) as u64,
+        initial_backoff_ms: (quiet / 64.0) as u64,
+        max_backoff_ms: (quiet / 4.0) as u64,
     };
     let mut scheduler = DeliveryScheduler::new(&settings.node, &settings.zone, &settings.region, scheduler_pace);
     scheduler.set_regions(&settings.zones);
--- a/crates/store/tests/schedule.rs
+++ b/crates/store/tests/schedule.rs
@@ -27,8 +27,12 @@
         ..Node::default()
     };
     let nodes = vec![front("h1", "x"), front("h2", "x"), front("h3", "y")];
-    let mut t =
-        DeliveryScheduler::new("me", "x", "r", SchedulerTiming { load_ms: 250, pause_ms: 60, longest_ms: 1000 });
+    let mut t = DeliveryScheduler::new(
+        "me",
+        "x",
+        "r",
+        SchedulerTiming { load_report_ttl_ms: 250, initial_backoff_ms: 60, max_backoff_ms: 1000 },
+    );
     let membership = Membership { version: 1, nodes, processors, listed: true, ..Membership::default() };
     t.news(&Arc::new(membership), &Arc::new(Assignments { rollouts, ..Assignments::default() }));
     t
@@ -238,7 +242,7 @@
     let mut given = std::collections::HashMap::new();
     for owner in 0..10 {
         let nodes = vec![Node { name: "h".into(), role: "front".into(), zone: "x".into(), ..Node::default() }];
-        let timing = SchedulerTiming { load_ms: 250, pause_ms: 60, longest_ms: 1000 };
+        let timing = SchedulerTiming { load_report_ttl_ms: 250, initial_backoff_ms: 60, max_backoff_ms: 1000 };
         let mut t = DeliveryScheduler::new(&format!("store-x-{owner}"), "x", "r", timing);
         let membership =
             Membership { version: 1, nodes, processors: processors.clone(), listed: true, ..Membership::default() };
