--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -24,7 +24,7 @@
     pub revision: String,
     pub front: String,
     /// When the attempt counts as overdue.
-    pub until: u64,
+    pub deadline: u64,
     /// The term and number of the attempt; 0 where not known.
     pub attempt: (u64, u64),
 }
@@ -406,7 +406,7 @@
     }
 
     /// Records that an attempt at a message has started.
-    pub fn launch(&mut self, key: Key, choice: &Target, route: &Route, until: u64) {
+    pub fn launch(&mut self, key: Key, choice: &Target, route: &Route, deadline: u64) {
         self.unqueue(key);
         let turn = self.turns.entry(choice.service.clone()).or_insert(0);
         *turn = turn.wrapping_add(1);
@@ -417,7 +417,7 @@
             processor: choice.processor.clone(),
             revision: choice.revision.clone(),
             front: choice.front.clone(),
-            until,
+            deadline,
             attempt: (0, 0),
         };
         if let Some(s) = self.sample(&in_flight) {
@@ -427,7 +427,7 @@
     }
 
     /// Records an attempt that a former owner started and a delivery node still holds.
-    pub fn adopt(&mut self, key: Key, route: &Route, service: &str, processor: &str, front: &str, until: u64) {
+    pub fn adopt(&mut self, key: Key, route: &Route, service: &str, processor: &str, front: &str, deadline: u64) {
         self.unqueue(key);
         if self.in_flight.contains_key(&key) {
             return;
@@ -439,7 +439,7 @@
             processor: processor.to_owned(),
             revision: String::new(),
             front: front.to_owned(),
-            until,
+            deadline,
             attempt: (0, 0),
         };
         self.in_flight.insert(key, in_flight);
@@ -469,7 +469,7 @@
 
     /// The messages whose attempts should have been reported by now.
     pub fn overdue(&self, now: u64) -> Vec<Key> {
-        self.in_flight.iter().filter(|(_, f)| now >= f.until).map(|(k, _)| *k).collect()
+        self.in_flight.iter().filter(|(_, f)| now >= f.deadline).map(|(k, _)| *k).collect()
     }
 
     /// The sample that an attempt counts towards, if a rollout of its service is running.
