--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -33,10 +33,10 @@
 struct ProcessorState {
     in_flight: u32,
     /// Requests of other senders at the processor, as of its last load report.
-    foreign: u32,
-    told_at: u64,
+    other_load: u32,
+    load_reported_at: u64,
     failures: u32,
-    shut_until: u64,
+    backoff_until: u64,
 }
 
 struct Bucket {
@@ -385,10 +385,10 @@
     /// The known load of a processor in requests, and its state.
     fn load(&self, id: &str, now: u64) -> (u32, &ProcessorState) {
         static NONE: ProcessorState =
-            ProcessorState { in_flight: 0, foreign: 0, told_at: 0, failures: 0, shut_until: 0 };
+            ProcessorState { in_flight: 0, other_load: 0, load_reported_at: 0, failures: 0, backoff_until: 0 };
         let s = self.processors.get(id).unwrap_or(&NONE);
-        let foreign = if now < s.told_at + self.timing.load_report_ttl_ms { s.foreign } else { 0 };
-        (s.in_flight + foreign, s)
+        let other_load = if now < s.load_reported_at + self.timing.load_report_ttl_ms { s.other_load } else { 0 };
+        (s.in_flight + other_load, s)
     }
 
     /// The name and address of a delivery node that may receive messages with these homes:
@@ -509,20 +509,20 @@
         let s = self.processors.entry(f.processor.clone()).or_default();
         if r.loaded {
             // The processor counts the request that it has just answered as running.
-            s.foreign = (r.running + r.waiting).saturating_sub(s.in_flight + 1);
-            s.told_at = now;
+            s.other_load = (r.running + r.waiting).saturating_sub(s.in_flight + 1);
+            s.load_reported_at = now;
         }
         match outcome {
             Outcome::Done | Outcome::Failed | Outcome::Never => s.failures = 0,
             Outcome::NotRun if r.status == 409 => {}
             Outcome::NotRun if r.status == 503 || r.status == 429 => {
                 // The processor is full with the work of other senders.
-                s.shut_until = now + timing.initial_backoff_ms;
+                s.backoff_until = now + timing.initial_backoff_ms;
             }
-            Outcome::NotRun if r.status == 421 => s.shut_until = now + timing.max_backoff_ms * 4,
+            Outcome::NotRun if r.status == 421 => s.backoff_until = now + timing.max_backoff_ms * 4,
             _ => {
                 s.failures += 1;
-                s.shut_until = now + (timing.initial_backoff_ms << s.failures.min(6)).min(timing.max_backoff_ms);
+                s.backoff_until = now + (timing.initial_backoff_ms << s.failures.min(6)).min(timing.max_backoff_ms);
             }
         }
     }
--- a/crates/store/src/scheduler/choice.rs
+++ b/crates/store/src/scheduler/choice.rs
@@ -16,7 +16,7 @@
             // another delivery node may still be open.
             let half = f64::from(service.conn_limit / 2) * self.share(&service.name);
             let room = if s.failures > 0 { 1 } else { (half as u32).max(1) };
-            if now < s.shut_until || s.in_flight >= room || load >= service.conn_limit {
+            if now < s.backoff_until || s.in_flight >= room || load >= service.conn_limit {
                 return None;
             }
             let (front, inner) = self.front(&service.name, &self.zone, homes)?;
@@ -135,7 +135,7 @@
         let is_apt = |u: &&Processor| self.is_usable(u) && !self.may_be_cold(u) && fits(u);
         processors.iter().filter(is_apt).find(|u| {
             let (load, s) = self.load(&u.id, now);
-            now >= s.shut_until && load < if s.failures > 0 { 1 } else { u.capacity.max(1) }
+            now >= s.backoff_until && load < if s.failures > 0 { 1 } else { u.capacity.max(1) }
         })
     }
 
@@ -155,7 +155,7 @@
             let (load, s) = self.load(&u.id, now);
             let capacity = u.capacity.max(1);
             let room = if s.failures > 0 { 1 } else { capacity };
-            if now < s.shut_until || load >= room {
+            if now < s.backoff_until || load >= room {
                 continue;
             }
             let far = if u.zone == self.zone {
