--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -39,9 +39,9 @@
     backoff_until: u64,
 }
 
-struct Bucket {
+struct TokenBucket {
     tokens: f64,
-    at: u64,
+    refilled_at: u64,
 }
 
 /// The processor chosen for an attempt, and the delivery node that sends it.
@@ -99,7 +99,7 @@
     delayed: BinaryHeap<Reverse<(u64, Key)>>,
     pub in_flight: HashMap<Key, InFlight>,
     processors: HashMap<String, ProcessorState>,
-    buckets: HashMap<String, Bucket>,
+    buckets: HashMap<String, TokenBucket>,
     /// The fraction of a rate-limited service that this owner may use, where it is below 1.
     shares: HashMap<String, f64>,
     /// By service, the accumulated rollout share; 1 pays for one attempt at the new revision.
@@ -369,11 +369,11 @@
         }
         let flow_per_s = service.flow_per_s * self.share(&service.name);
         // Starts empty: another owner may have spent the burst allowance just before.
-        let b = self.buckets.entry(service.name.clone()).or_insert(Bucket { tokens: 0.0, at: now });
+        let b = self.buckets.entry(service.name.clone()).or_insert(TokenBucket { tokens: 0.0, refilled_at: now });
         let rate = flow_per_s / 1000.0;
         // The burst allowance is a tenth of a second's worth of tokens.
-        b.tokens = (b.tokens + (now - b.at) as f64 * rate).min((flow_per_s / 10.0).max(1.0));
-        b.at = now;
+        b.tokens = (b.tokens + (now - b.refilled_at) as f64 * rate).min((flow_per_s / 10.0).max(1.0));
+        b.refilled_at = now;
         if b.tokens >= 1.0 {
             b.tokens -= 1.0;
             Ok(())
