--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -90,7 +90,7 @@
 pub struct DeliveryScheduler {
     /// The name of this node. It seeds the order in which processors are searched, so that owners
     /// start at different ones.
-    me: String,
+    node_name: String,
     zone: String,
     region: String,
     timing: SchedulerTiming,
@@ -166,9 +166,9 @@
 }
 
 impl DeliveryScheduler {
-    pub fn new(me: &str, zone: &str, region: &str, timing: SchedulerTiming) -> DeliveryScheduler {
+    pub fn new(node_name: &str, zone: &str, region: &str, timing: SchedulerTiming) -> DeliveryScheduler {
         DeliveryScheduler {
-            me: me.into(),
+            node_name: node_name.into(),
             zone: zone.into(),
             region: region.into(),
             timing,
@@ -223,7 +223,7 @@
             .iter()
             .map(|(service, processors)| {
                 let mut order: Vec<usize> = (0..processors.len()).collect();
-                order.sort_by_cached_key(|n| hash(&self.me, &processors[*n].id));
+                order.sort_by_cached_key(|n| hash(&self.node_name, &processors[*n].id));
                 (service.clone(), order)
             })
             .collect();
