--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -103,7 +103,7 @@
     /// The fraction of a rate-limited service that this owner may use, where it is below 1.
     shares: HashMap<String, f64>,
     /// By service, the accumulated rollout share; 1 pays for one attempt at the new revision.
-    coins: HashMap<String, f64>,
+    rollout_credits: HashMap<String, f64>,
     /// By message, the number of back-offs so far.
     pauses: HashMap<Key, u32>,
     /// By service, the number of attempts started.
@@ -179,7 +179,7 @@
             processors: HashMap::new(),
             buckets: HashMap::new(),
             shares: HashMap::new(),
-            coins: HashMap::new(),
+            rollout_credits: HashMap::new(),
             pauses: HashMap::new(),
             turns: HashMap::new(),
             samples: HashMap::new(),
--- a/crates/store/src/scheduler/choice.rs
+++ b/crates/store/src/scheduler/choice.rs
@@ -39,8 +39,9 @@
                 "reverted" => Some(false),
                 _ if r.share >= 1000 => Some(true),
                 _ => {
-                    let coin = self.coins.get(&service.name).copied().unwrap_or(0.5) + f64::from(r.share) / 1000.0;
-                    Some(coin >= 1.0)
+                    let credit =
+                        self.rollout_credits.get(&service.name).copied().unwrap_or(0.5) + f64::from(r.share) / 1000.0;
+                    Some(credit >= 1.0)
                 }
             };
         }
@@ -64,10 +65,10 @@
             return None;
         }
         if let Some(r) = rollout.filter(|r| r.state == "running") {
-            let coin = self.coins.entry(service.name.clone()).or_insert(0.5);
-            *coin = (*coin + f64::from(r.share) / 1000.0).min(2.0);
+            let credit = self.rollout_credits.entry(service.name.clone()).or_insert(0.5);
+            *credit = (*credit + f64::from(r.share) / 1000.0).min(2.0);
             if u.revision == r.target {
-                *coin -= 1.0;
+                *credit -= 1.0;
             }
         }
         let (front, inner) = self.front(&u.id, &u.zone, homes)?;
