--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -105,7 +105,7 @@
     /// By service, the accumulated rollout share; 1 pays for one attempt at the new revision.
     rollout_credits: HashMap<String, f64>,
     /// By message, the number of back-offs so far.
-    pauses: HashMap<Key, u32>,
+    backoffs: HashMap<Key, u32>,
     /// By service, the number of attempts started.
     turns: HashMap<String, u32>,
     samples: HashMap<(String, String, String), Sample>,
@@ -180,7 +180,7 @@
             buckets: HashMap::new(),
             shares: HashMap::new(),
             rollout_credits: HashMap::new(),
-            pauses: HashMap::new(),
+            backoffs: HashMap::new(),
             turns: HashMap::new(),
             samples: HashMap::new(),
             membership: Arc::default(),
@@ -248,7 +248,7 @@
         }
         self.queued.retain(|k, _| k.0 != partition);
         self.delayed.retain(|Reverse((_, k))| k.0 != partition);
-        self.pauses.retain(|k, _| k.0 != partition);
+        self.backoffs.retain(|k, _| k.0 != partition);
         self.notices.retain(|(_, k)| k.0 != partition);
         let gone: Vec<Key> = self.in_flight.keys().filter(|k| k.0 == partition).copied().collect();
         for k in gone {
@@ -337,13 +337,13 @@
     /// Removes a message that has ended or is kept elsewhere now.
     pub fn forget(&mut self, key: Key) {
         self.unqueue(key);
-        self.pauses.remove(&key);
+        self.backoffs.remove(&key);
         self.land(key);
     }
 
     /// Counts a fruitless attempt and returns how long to back off before the next one.
-    pub fn pause(&mut self, key: Key) -> u64 {
-        let n = self.pauses.entry(key).or_insert(0);
+    pub fn next_backoff(&mut self, key: Key) -> u64 {
+        let n = self.backoffs.entry(key).or_insert(0);
         *n += 1;
         (self.timing.initial_backoff_ms << (*n - 1).min(6)).min(self.timing.max_backoff_ms)
     }
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -103,8 +103,8 @@
             // attempt is counted.
             telemetry::count("runs_overdue");
             i.scheduler.land(k);
-            let pause = i.scheduler.pause(k);
-            i.scheduler.later(k, now + pause);
+            let backoff = i.scheduler.next_backoff(k);
+            i.scheduler.later(k, now + backoff);
         }
         let mut touched = HashSet::new();
         for queue in i.scheduler.queues_ready() {
@@ -285,8 +285,8 @@
                     }
                 } else {
                     telemetry::count("call_backs_missed");
-                    let pause = i.scheduler.pause(k);
-                    i.scheduler.notices.push_back((post.now() + pause, k));
+                    let backoff = i.scheduler.next_backoff(k);
+                    i.scheduler.notices.push_back((post.now() + backoff, k));
                 }
                 post.wake.notify_one();
             });
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -157,8 +157,8 @@
                 }
                 Change::Failed(pos) => {
                     i.answering.remove(&(partition, pos));
-                    let pause = i.scheduler.pause((partition, pos));
-                    i.scheduler.later((partition, pos), now + pause);
+                    let backoff = i.scheduler.next_backoff((partition, pos));
+                    i.scheduler.later((partition, pos), now + backoff);
                 }
                 Change::Ended(pos) => {
                     let k = (partition, pos);
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -178,8 +178,8 @@
                 telemetry::count("failures_told_again");
                 responder.send(Body::ReportAck(ReportAck { kept: true }));
                 if !outdated {
-                    let pause = i.scheduler.pause(k);
-                    i.scheduler.later(k, now + pause);
+                    let backoff = i.scheduler.next_backoff(k);
+                    i.scheduler.later(k, now + backoff);
                 }
             }
             Outcome::Done | Outcome::Failed | Outcome::Never => {
@@ -202,8 +202,8 @@
                     // The delivery node reports it again; until then the message stays scheduled.
                     None => {
                         responder.send(Body::ReportAck(ReportAck { kept: false }));
-                        let pause = i.scheduler.pause(k);
-                        i.scheduler.later(k, now + pause);
+                        let backoff = i.scheduler.next_backoff(k);
+                        i.scheduler.later(k, now + backoff);
                     }
                 }
                 self.carry_out(i, k.0, out);
@@ -214,8 +214,8 @@
                 match gap(outcome, r.status).again(self.class(i, k)) {
                     RetryOwner::Owner => self.schedule(i, k, now),
                     _ => {
-                        let pause = i.scheduler.pause(k);
-                        i.scheduler.later(k, now + pause);
+                        let backoff = i.scheduler.next_backoff(k);
+                        i.scheduler.later(k, now + backoff);
                     }
                 }
             }
