--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -107,12 +107,12 @@
     /// By message, the number of back-offs so far.
     backoffs: HashMap<Key, u32>,
     /// By service, the number of attempts started.
-    turns: HashMap<String, u32>,
+    attempts_started: HashMap<String, u32>,
     samples: HashMap<(String, String, String), Sample>,
     pub membership: Arc<Membership>,
     by_service: HashMap<String, Vec<Processor>>,
     /// By service, the indexes into `by_service` in this owner's search order.
-    turns_at: HashMap<String, Vec<usize>>,
+    search_order: HashMap<String, Vec<usize>>,
     /// Indexes of the delivery nodes in the current membership, by zone.
     fronts: HashMap<String, Vec<usize>>,
     /// The zones of this node's region.
@@ -181,11 +181,11 @@
             shares: HashMap::new(),
             rollout_credits: HashMap::new(),
             backoffs: HashMap::new(),
-            turns: HashMap::new(),
+            attempts_started: HashMap::new(),
             samples: HashMap::new(),
             membership: Arc::default(),
             by_service: HashMap::new(),
-            turns_at: HashMap::new(),
+            search_order: HashMap::new(),
             fronts: HashMap::new(),
             near: HashSet::new(),
             cold_buckets: LeasedBuckets::default(),
@@ -218,7 +218,7 @@
         for u in &membership.processors {
             self.by_service.entry(u.service.clone()).or_default().push(u.clone());
         }
-        self.turns_at = self
+        self.search_order = self
             .by_service
             .iter()
             .map(|(service, processors)| {
@@ -305,7 +305,7 @@
         // A quarter of the target is reserved for the transfer: a message that is just in time
         // here starts too late at the processor, and under load that would apply to all of them.
         let line = now.saturating_sub(target_start_ms * 3 / 4);
-        if oldest.0 >= line || self.turns.get(&id.service).copied().unwrap_or(0) % 4 == 3 {
+        if oldest.0 >= line || self.attempts_started.get(&id.service).copied().unwrap_or(0) % 4 == 3 {
             return Some(oldest.1);
         }
         Some(queue.range((line, (0, 0))..).next().unwrap_or(oldest).1)
@@ -408,8 +408,8 @@
     /// Records that an attempt at a message has started.
     pub fn launch(&mut self, key: Key, choice: &Target, route: &Route, deadline: u64) {
         self.unqueue(key);
-        let turn = self.turns.entry(choice.service.clone()).or_insert(0);
-        *turn = turn.wrapping_add(1);
+        let started = self.attempts_started.entry(choice.service.clone()).or_insert(0);
+        *started = started.wrapping_add(1);
         self.processors.entry(choice.processor.clone()).or_default().in_flight += 1;
         let in_flight = InFlight {
             service: choice.service.clone(),
--- a/crates/store/src/scheduler/choice.rs
+++ b/crates/store/src/scheduler/choice.rs
@@ -151,7 +151,7 @@
         fits: impl Fn(&Processor) -> bool,
     ) -> Option<&'a Processor> {
         let mut best: Option<(f64, &Processor)> = None;
-        let order = self.turns_at.get(&service.name)?.iter().map(|n| &processors[*n]);
+        let order = self.search_order.get(&service.name)?.iter().map(|n| &processors[*n]);
         for u in order.filter(|u| self.is_usable(u) && fits(u) && self.has_cold_token(service, u, now)) {
             let (load, s) = self.load(&u.id, now);
             let capacity = u.capacity.max(1);
