--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -114,9 +114,9 @@
     /// By service, the indexes into `by_service` in this owner's search order.
     search_order: HashMap<String, Vec<usize>>,
     /// Indexes of the delivery nodes in the current membership, by zone.
-    fronts: HashMap<String, Vec<usize>>,
+    fronts_by_zone: HashMap<String, Vec<usize>>,
     /// The zones of this node's region.
-    near: HashSet<String>,
+    region_zones: HashSet<String>,
     /// Token buckets of the cold processors on which this owner holds a lease.
     cold_buckets: LeasedBuckets,
     /// The region of each zone.
@@ -186,8 +186,8 @@
             membership: Arc::default(),
             by_service: HashMap::new(),
             search_order: HashMap::new(),
-            fronts: HashMap::new(),
-            near: HashSet::new(),
+            fronts_by_zone: HashMap::new(),
+            region_zones: HashSet::new(),
             cold_buckets: LeasedBuckets::default(),
             regions: BTreeMap::new(),
             zone_uses: HashMap::new(),
@@ -227,14 +227,14 @@
                 (service.clone(), order)
             })
             .collect();
-        self.fronts.clear();
-        self.near.clear();
+        self.fronts_by_zone.clear();
+        self.region_zones.clear();
         for (at, n) in membership.nodes.iter().enumerate() {
             if n.role == "front" && !n.leaving {
-                self.fronts.entry(n.zone.clone()).or_default().push(at);
+                self.fronts_by_zone.entry(n.zone.clone()).or_default().push(at);
             }
             if n.region == self.region {
-                self.near.insert(n.zone.clone());
+                self.region_zones.insert(n.zone.clone());
             }
         }
         let there: HashSet<&str> = membership.processors.iter().map(|u| u.id.as_str()).collect();
@@ -396,12 +396,12 @@
     fn front(&self, key: &str, zone: &str, homes: &Homes) -> Option<(&str, &str)> {
         let allowed = |node: &&Node| homes.allows(&node.region);
         let of = |zone: &str| {
-            let nodes = self.fronts.get(zone).into_iter().flatten().map(|at| &self.membership.nodes[*at]);
+            let nodes = self.fronts_by_zone.get(zone).into_iter().flatten().map(|at| &self.membership.nodes[*at]);
             nodes.filter(allowed)
         };
         let found = rendezvous(key, of(zone))
             .or_else(|| rendezvous(key, of(&self.zone)))
-            .or_else(|| rendezvous(key, self.fronts.keys().flat_map(|z| of(z))))?;
+            .or_else(|| rendezvous(key, self.fronts_by_zone.keys().flat_map(|z| of(z))))?;
         Some((&found.name, &found.inner))
     }
 
--- a/crates/store/src/scheduler/choice.rs
+++ b/crates/store/src/scheduler/choice.rs
@@ -161,7 +161,7 @@
             }
             let far = if u.zone == self.zone {
                 0.0
-            } else if self.near.contains(&u.zone) {
+            } else if self.region_zones.contains(&u.zone) {
                 0.5
             } else {
                 1.0
