--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -125,9 +125,9 @@
     zone_uses: HashMap<String, ZoneUse>,
     pub assignments: Arc<Assignments>,
     /// Call-backs to send, each with the earliest time to send it.
-    pub notices: VecDeque<(u64, Key)>,
+    pub callbacks: VecDeque<(u64, Key)>,
     /// The number of call-backs in flight, by host.
-    pub notices_in_flight: HashMap<String, u32>,
+    pub callbacks_in_flight: HashMap<String, u32>,
 }
 
 /// Which delivery nodes did not tell a new owner the attempts they hold, as far as that matters to
@@ -192,8 +192,8 @@
             regions: BTreeMap::new(),
             zone_uses: HashMap::new(),
             assignments: Arc::default(),
-            notices: VecDeque::new(),
-            notices_in_flight: HashMap::new(),
+            callbacks: VecDeque::new(),
+            callbacks_in_flight: HashMap::new(),
         }
     }
 
@@ -249,7 +249,7 @@
         self.queued.retain(|k, _| k.0 != partition);
         self.delayed.retain(|Reverse((_, k))| k.0 != partition);
         self.backoffs.retain(|k, _| k.0 != partition);
-        self.notices.retain(|(_, k)| k.0 != partition);
+        self.callbacks.retain(|(_, k)| k.0 != partition);
         let gone: Vec<Key> = self.in_flight.keys().filter(|k| k.0 == partition).copied().collect();
         for k in gone {
             self.land(k);
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -143,7 +143,7 @@
         for p in touched {
             self.step(i, p, |m, now, out| m.flush(now, out));
         }
-        self.notices(i, now);
+        self.send_callbacks(i, now);
         if let Some(due) = i.scheduler.next_due() {
             wake = wake.min(due.max(now + 1));
         }
@@ -242,37 +242,37 @@
     }
 
     /// Sends the call-backs that are due.
-    pub(super) fn notices(self: &Arc<Self>, i: &mut StoreState, now: u64) {
+    pub(super) fn send_callbacks(self: &Arc<Self>, i: &mut StoreState, now: u64) {
         let mut left = std::collections::VecDeque::new();
-        while let Some((at, k)) = i.scheduler.notices.pop_front() {
+        while let Some((at, k)) = i.scheduler.callbacks.pop_front() {
             let piece =
                 i.replicas.get(&k.0).filter(|m| m.role == ReplicaRole::Owner).and_then(|m| m.state.pieces.get(&k.1));
             let Some(w) = piece.filter(|w| w.owes_notice()) else { continue };
             let host = w.item.notify_url.trim_start_matches("http://").split('/').next().unwrap_or("").to_owned();
-            let busy = i.scheduler.notices_in_flight.get(&host).copied().unwrap_or(0);
+            let busy = i.scheduler.callbacks_in_flight.get(&host).copied().unwrap_or(0);
             let homes = self.session.with_known(|s| s.configuration.homes_on(&w.item.route, &w.item.tenant));
             let front = i.scheduler.any_front(&host, &homes.unwrap_or_default());
             let (Some((_, inner)), true, true) = (front, at <= now, busy < 8) else {
                 left.push_back((at, k));
                 continue;
             };
-            let notice = Notify {
+            let callback = Notify {
                 url: w.item.notify_url.clone(),
                 id: w.item.id.clone(),
                 state: w.state.word().into(),
                 result_tag: w.result_tag.clone(),
             };
-            *i.scheduler.notices_in_flight.entry(host.clone()).or_insert(0) += 1;
+            *i.scheduler.callbacks_in_flight.entry(host.clone()).or_insert(0) += 1;
             let post = self.clone();
             tokio::spawn(async move {
                 let wait = Duration::from_millis((post.settings.constraints.notify_s * 400.0) as u64);
-                let status = match post.rpc_clients.to(&inner).call(Body::Notify(notice), wait).await {
+                let status = match post.rpc_clients.to(&inner).call(Body::Notify(callback), wait).await {
                     Ok(Body::NotifyAck(a)) => a.status,
                     _ => 0,
                 };
                 let mut i = post.shared.lock().unwrap();
                 let i = &mut *i;
-                if let Some(n) = i.scheduler.notices_in_flight.get_mut(&host) {
+                if let Some(n) = i.scheduler.callbacks_in_flight.get_mut(&host) {
                     *n = n.saturating_sub(1);
                 }
                 if status == 200 {
@@ -286,11 +286,11 @@
                 } else {
                     telemetry::count("call_backs_missed");
                     let backoff = i.scheduler.next_backoff(k);
-                    i.scheduler.notices.push_back((post.now() + backoff, k));
+                    i.scheduler.callbacks.push_back((post.now() + backoff, k));
                 }
                 post.wake.notify_one();
             });
         }
-        i.scheduler.notices = left;
+        i.scheduler.callbacks = left;
     }
 }
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -167,7 +167,7 @@
                     if let Some(w) = i.replicas[&partition].state.pieces.get(&pos) {
                         telemetry::count(if w.state == MessageState::Settled { "settled" } else { "dead" });
                         if w.owes_notice() {
-                            i.scheduler.notices.push_back((now, k));
+                            i.scheduler.callbacks.push_back((now, k));
                         }
                     }
                 }
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -109,8 +109,8 @@
             self.schedule(i, (partition, pos), now);
         }
         for pos in owed {
-            if !i.scheduler.notices.iter().any(|(_, k)| *k == (partition, pos)) {
-                i.scheduler.notices.push_back((now, (partition, pos)));
+            if !i.scheduler.callbacks.iter().any(|(_, k)| *k == (partition, pos)) {
+                i.scheduler.callbacks.push_back((now, (partition, pos)));
             }
         }
         self.wake.notify_one();
