--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -133,21 +133,21 @@
 /// Which delivery nodes did not tell a new owner the attempts they hold, as far as that matters to
 /// one message.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Silence {
+pub struct UnresponsiveNodes {
     /// At least one delivery node did not answer, and the log does not end with a stop marker.
     pub any: bool,
     /// The delivery node to which the message was last dispatched did not answer.
-    pub last: bool,
+    pub last_recipient: bool,
 }
 
-impl Silence {
+impl UnresponsiveNodes {
     /// Until when, by the partition's time, an attempt at a pending message may still run at a
     /// node that did not answer; 0 if it cannot. `sent`: time of the last dispatch in the log;
     /// `taken`: when this owner took over; `longest`: the longest that an attempt may run.
     /// The former owner's last dispatches may be missing from every log that survived. Only
     /// sequenced messages are held back for that.
-    pub fn until(self, sequenced: bool, sent: u64, taken: u64, longest: u64) -> u64 {
-        match (self.last, self.any && sequenced) {
+    pub fn hold_until(self, sequenced: bool, sent: u64, taken: u64, longest: u64) -> u64 {
+        match (self.last_recipient, self.any && sequenced) {
             (_, true) => sent.max(taken) + longest,
             (true, _) => sent + longest,
             _ => 0,
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -99,11 +99,12 @@
             // A missing answer does not mean that nothing is held: a message last dispatched to
             // such a node waits until that attempt cannot be running any more.
             let w = &i.replicas[&partition].state.pieces[&pos];
-            let silence = Silence { any: seized && !silent.is_empty(), last: silent.contains(&w.node) };
-            let over = silence.until(!w.item.order_key.is_empty(), w.sent_ms, taken, longest(w));
-            if over > time {
+            let unresponsive =
+                UnresponsiveNodes { any: seized && !silent.is_empty(), last_recipient: silent.contains(&w.node) };
+            let hold_until = unresponsive.hold_until(!w.item.order_key.is_empty(), w.sent_ms, taken, longest(w));
+            if hold_until > time {
                 telemetry::count("runs_maybe_held");
-                i.scheduler.later((partition, pos), now + surely_over(over - time));
+                i.scheduler.later((partition, pos), now + surely_over(hold_until - time));
                 continue;
             }
             self.schedule(i, (partition, pos), now);
--- a/crates/store/tests/schedule.rs
+++ b/crates/store/tests/schedule.rs
@@ -327,16 +327,16 @@
 
 #[test]
 fn what_a_silent_node_may_have_waits_until_it_must_be_over() {
-    let (none, other) = (Silence::default(), Silence { any: true, last: false });
-    let last = Silence { any: true, last: true };
+    let (none, other) = (UnresponsiveNodes::default(), UnresponsiveNodes { any: true, last_recipient: false });
+    let last = UnresponsiveNodes { any: true, last_recipient: true };
     for sequenced in [false, true] {
-        assert_eq!(none.until(sequenced, 500, 900, 1600), 0, "all said what they hold");
+        assert_eq!(none.hold_until(sequenced, 500, 900, 1600), 0, "all said what they hold");
     }
-    assert_eq!(last.until(false, 500, 900, 1600), 2100);
+    assert_eq!(last.hold_until(false, 500, 900, 1600), 2100);
     // The former owner may have given it out again, with nobody left who knows: a
     // message whose order counts waits for that, others need not.
-    assert_eq!(other.until(false, 500, 900, 1600), 0);
-    assert_eq!((other.until(true, 0, 900, 1600), last.until(true, 500, 900, 1600)), (2500, 2500));
+    assert_eq!(other.hold_until(false, 500, 900, 1600), 0);
+    assert_eq!((other.hold_until(true, 0, 900, 1600), last.hold_until(true, 500, 900, 1600)), (2500, 2500));
 }
 
 /// The scheduler's news of evacuations, with the processors as they are.
