--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -203,7 +203,7 @@
     }
 
     /// Replaces the membership and the assignments that targets are chosen by.
-    pub fn news(&mut self, membership: &Arc<Membership>, assignments: &Arc<Assignments>) {
+    pub fn update_view(&mut self, membership: &Arc<Membership>, assignments: &Arc<Assignments>) {
         self.assignments = assignments.clone();
         self.zone_uses = assignments
             .evacuations
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -89,7 +89,7 @@
         if !self.leased(i) {
             return wake;
         }
-        i.scheduler.news(&known.membership, &known.assignments);
+        i.scheduler.update_view(&known.membership, &known.assignments);
         let owned: Vec<u32> = i.replicas.values().filter(|m| m.role == ReplicaRole::Owner).map(|m| m.id).collect();
         for p in owned {
             self.owner_time(i, p);
--- a/crates/store/tests/schedule.rs
+++ b/crates/store/tests/schedule.rs
@@ -34,7 +34,7 @@
         SchedulerTiming { load_report_ttl_ms: 250, initial_backoff_ms: 60, max_backoff_ms: 1000 },
     );
     let membership = Membership { version: 1, nodes, processors, listed: true, ..Membership::default() };
-    t.news(&Arc::new(membership), &Arc::new(Assignments { rollouts, ..Assignments::default() }));
+    t.update_view(&Arc::new(membership), &Arc::new(Assignments { rollouts, ..Assignments::default() }));
     t
 }
 
@@ -246,7 +246,7 @@
         let mut t = DeliveryScheduler::new(&format!("store-x-{owner}"), "x", "r", timing);
         let membership =
             Membership { version: 1, nodes, processors: processors.clone(), listed: true, ..Membership::default() };
-        t.news(&Arc::new(membership), &Arc::default());
+        t.update_view(&Arc::new(membership), &Arc::default());
         for pos in 0..5 {
             let c = launch(&mut t, pos).expect("room");
             *given.entry(c.processor).or_insert(0) += 1;
@@ -306,7 +306,10 @@
     let mut processors = [new, old].concat();
     processors.sort_by(|a, b| a.id.cmp(&b.id));
     let membership = Membership { version: 2, nodes: vec![front], processors, listed: true, ..Membership::default() };
-    t.news(&Arc::new(membership), &Arc::new(Assignments { rollouts: vec![rollout.clone()], ..Assignments::default() }));
+    t.update_view(
+        &Arc::new(membership),
+        &Arc::new(Assignments { rollouts: vec![rollout.clone()], ..Assignments::default() }),
+    );
     t
 }
 
@@ -343,7 +346,7 @@
 fn evacuations(t: &mut DeliveryScheduler, evacuations: Vec<Evacuation>) {
     let assignments = Assignments { evacuations, ..(*t.assignments).clone() };
     let membership = t.membership.clone();
-    t.news(&membership, &Arc::new(assignments));
+    t.update_view(&membership, &Arc::new(assignments));
 }
 
 #[test]
@@ -366,7 +369,7 @@
         t.membership.nodes.iter().map(|n| Node { region: if n.zone == "x" { "r" } else { "s" }.into(), ..n.clone() });
     let membership = Membership { version: 2, nodes: nodes.collect(), ..(*t.membership).clone() };
     let assignments = t.assignments.clone();
-    t.news(&Arc::new(membership), &assignments);
+    t.update_view(&Arc::new(membership), &assignments);
     let homes = Homes::of(&["s".to_owned()]);
     for position in 0..2 {
         let target = t.choose(&service(), &homes, 1000).expect("room there");
