--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -242,7 +242,7 @@
     }
 
     /// Removes all messages of a partition that this node no longer owns.
-    pub fn drop_partition(&mut self, partition: u32) {
+    pub fn remove_partition(&mut self, partition: u32) {
         for q in self.ready.values_mut() {
             q.retain(|(_, k)| k.0 != partition);
         }
@@ -258,7 +258,7 @@
 
     /// Adds a message to a ready queue, ordered by `age`, the time since when it is due. Does
     /// nothing if the message is queued or in flight already.
-    pub fn ready(&mut self, key: Key, queue: QueueId, age: u64) {
+    pub fn enqueue(&mut self, key: Key, queue: QueueId, age: u64) {
         if self.in_flight.contains_key(&key) || self.queued.contains_key(&key) {
             return;
         }
@@ -267,12 +267,12 @@
     }
 
     /// Delays a message until `at`.
-    pub fn later(&mut self, key: Key, at: u64) {
+    pub fn delay_until(&mut self, key: Key, at: u64) {
         self.delayed.push(Reverse((at, key)));
     }
 
     /// Removes and returns the first delayed message whose time has come.
-    pub fn take_due(&mut self, now: u64) -> Option<Key> {
+    pub fn pop_due(&mut self, now: u64) -> Option<Key> {
         let Reverse((at, key)) = self.delayed.peek()?;
         if *at > now {
             return None;
@@ -291,7 +291,7 @@
         self.queued.iter().map(|(key, (queue, _))| (*key, queue))
     }
 
-    pub fn queues_ready(&self) -> Vec<QueueId> {
+    pub fn ready_queues(&self) -> Vec<QueueId> {
         self.ready.iter().filter(|(_, q)| !q.is_empty()).map(|(queue, _)| queue.clone()).collect()
     }
 
@@ -299,7 +299,7 @@
     /// the service's target start time. For a message that is late already, waiting longer does
     /// not change that it missed the target; such messages get every fourth attempt, and all
     /// capacity that the others leave.
-    pub fn first_ready(&self, id: &QueueId, now: u64, target_start_ms: u64) -> Option<Key> {
+    pub fn next_ready(&self, id: &QueueId, now: u64, target_start_ms: u64) -> Option<Key> {
         let queue = self.ready.get(id)?;
         let oldest = queue.first()?;
         // A quarter of the target is reserved for the transfer: a message that is just in time
@@ -311,7 +311,7 @@
         Some(queue.range((line, (0, 0))..).next().unwrap_or(oldest).1)
     }
 
-    pub fn unqueue(&mut self, key: Key) {
+    pub fn remove_queued(&mut self, key: Key) {
         if let Some((queue, age)) = self.queued.remove(&key)
             && let Some(q) = self.ready.get_mut(&queue)
         {
@@ -320,7 +320,7 @@
     }
 
     /// The number of delayed messages.
-    pub fn delayed(&self) -> usize {
+    pub fn delayed_count(&self) -> usize {
         self.delayed.len()
     }
 
@@ -330,13 +330,13 @@
         self.queued.keys().chain(self.in_flight.keys()).copied().chain(delayed).collect()
     }
 
-    pub fn queued(&self) -> usize {
+    pub fn queued_count(&self) -> usize {
         self.queued.len()
     }
 
     /// Removes a message that has ended or is kept elsewhere now.
-    pub fn forget(&mut self, key: Key) {
-        self.unqueue(key);
+    pub fn remove(&mut self, key: Key) {
+        self.remove_queued(key);
         self.backoffs.remove(&key);
         self.land(key);
     }
@@ -407,7 +407,7 @@
 
     /// Records that an attempt at a message has started.
     pub fn launch(&mut self, key: Key, choice: &Target, route: &Route, deadline: u64) {
-        self.unqueue(key);
+        self.remove_queued(key);
         let started = self.attempts_started.entry(choice.service.clone()).or_insert(0);
         *started = started.wrapping_add(1);
         self.processors.entry(choice.processor.clone()).or_default().in_flight += 1;
@@ -428,7 +428,7 @@
 
     /// Records an attempt that a former owner started and a delivery node still holds.
     pub fn adopt(&mut self, key: Key, route: &Route, service: &str, processor: &str, front: &str, deadline: u64) {
-        self.unqueue(key);
+        self.remove_queued(key);
         if self.in_flight.contains_key(&key) {
             return;
         }
--- a/crates/store/src/service/audit.rs
+++ b/crates/store/src/service/audit.rs
@@ -27,8 +27,8 @@
             return;
         }
         let waiting = self.waiting(i);
-        telemetry::set("waiting_queued", i.scheduler.queued() as u64);
-        telemetry::set("waiting_for_a_time", i.scheduler.delayed() as u64);
+        telemetry::set("waiting_queued", i.scheduler.queued_count() as u64);
+        telemetry::set("waiting_for_a_time", i.scheduler.delayed_count() as u64);
         telemetry::set("waiting_under_way", i.scheduler.in_flight.len() as u64);
         telemetry::set("waiting_behind_another", waiting.behind_another);
         telemetry::set("waiting_for_their_answer", waiting.answering);
@@ -76,7 +76,7 @@
     }
 
     fn check_queues(&self, i: &StoreState) {
-        let queues = i.scheduler.queues_ready();
+        let queues = i.scheduler.ready_queues();
         let is_unserved =
             |queue: &&QueueId| self.session.with_known(|k| k.configuration.service(&queue.service).is_none());
         let unserved: Vec<&QueueId> = queues.iter().filter(is_unserved).collect();
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -16,24 +16,24 @@
         }
         let Some(time) = m.time(now) else {
             // The time comes with the lease, and nothing is dispatched without one.
-            i.scheduler.later(k, now + self.ratio(100.0));
+            i.scheduler.delay_until(k, now + self.ratio(100.0));
             return;
         };
         let due = w.at_ms + surely_over(w.due_ms.saturating_sub(w.at_ms));
         if due > time {
-            i.scheduler.later(k, now + (due - time));
+            i.scheduler.delay_until(k, now + (due - time));
             return;
         }
         // When the message became due, on this process's steady clock.
         let due_since = now.saturating_sub(time.saturating_sub(w.due_ms));
         let queue = self.session.with_known(|known| QueueId::of(&known.configuration, &w.item));
         match queue {
-            Some(queue) => i.scheduler.ready(k, queue, due_since),
+            Some(queue) => i.scheduler.enqueue(k, queue, due_since),
             // Either the message is from a node with a newer configuration, which will arrive
             // here, or its route was removed, which a log record is about to say.
             None => {
                 telemetry::count("routes_not_known_yet");
-                i.scheduler.later(k, now + self.ratio(40.0));
+                i.scheduler.delay_until(k, now + self.ratio(40.0));
             }
         }
     }
@@ -52,7 +52,7 @@
         let moved: Vec<Key> = i.scheduler.queued_messages().filter(is_elsewhere).map(|(key, _)| key).collect();
         telemetry::add("messages_queued_anew", moved.len() as u64);
         for key in moved {
-            i.scheduler.unqueue(key);
+            i.scheduler.remove_queued(key);
             self.schedule(i, key, now);
         }
     }
@@ -94,7 +94,7 @@
         for p in owned {
             self.owner_time(i, p);
         }
-        while let Some(k) = i.scheduler.take_due(now) {
+        while let Some(k) = i.scheduler.pop_due(now) {
             self.schedule(i, k, now);
         }
         self.choose_queues(i, &known.configuration, now);
@@ -104,28 +104,28 @@
             telemetry::count("runs_overdue");
             i.scheduler.land(k);
             let backoff = i.scheduler.next_backoff(k);
-            i.scheduler.later(k, now + backoff);
+            i.scheduler.delay_until(k, now + backoff);
         }
         let mut touched = HashSet::new();
-        for queue in i.scheduler.queues_ready() {
+        for queue in i.scheduler.ready_queues() {
             let name = &queue.service;
             let Some(service) = known.configuration.service(name) else { continue };
             let share = self.metered_share(i, &known, service);
             i.scheduler.set_share(name, share);
             let target_start = known.configuration.target_start_ms(name) as u64;
-            while let Some(k) = i.scheduler.first_ready(&queue, now, target_start) {
+            while let Some(k) = i.scheduler.next_ready(&queue, now, target_start) {
                 let asked = i.asking.get(&k.0).is_some_and(|end| k.1 <= *end);
                 if asked || i.replicas.get(&k.0).is_none_or(|m| !m.open()) {
                     // The partition was just taken over, or it is moving: retried later.
-                    i.scheduler.unqueue(k);
-                    i.scheduler.later(k, now + self.ratio(100.0));
+                    i.scheduler.remove_queued(k);
+                    i.scheduler.delay_until(k, now + self.ratio(100.0));
                     continue;
                 }
                 let item = i.replicas.get(&k.0).and_then(|m| m.state.pieces.get(&k.1)).map(|w| &w.item);
                 if item.and_then(|item| QueueId::of(&known.configuration, item)).is_none_or(|now| now != queue) {
                     // Its route was changed or removed since it was queued: rescheduled.
-                    i.scheduler.unqueue(k);
-                    i.scheduler.later(k, now + self.ratio(400.0));
+                    i.scheduler.remove_queued(k);
+                    i.scheduler.delay_until(k, now + self.ratio(400.0));
                     continue;
                 }
                 let Some(choice) = i.scheduler.choose(service, &queue.homes, now) else { break };
@@ -134,8 +134,8 @@
                     break;
                 }
                 if !self.dispatch(i, &known, k, service, choice, now) {
-                    i.scheduler.unqueue(k);
-                    i.scheduler.later(k, now + self.ratio(100.0));
+                    i.scheduler.remove_queued(k);
+                    i.scheduler.delay_until(k, now + self.ratio(100.0));
                 }
                 touched.insert(k.0);
             }
@@ -236,7 +236,7 @@
         let i = &mut *i;
         if i.scheduler.in_flight.get(&k).is_some_and(|f| f.attempt == (term, attempt)) {
             i.scheduler.land(k);
-            i.scheduler.later(k, self.now() + self.ratio(200.0));
+            i.scheduler.delay_until(k, self.now() + self.ratio(200.0));
             self.wake.notify_one();
         }
     }
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -94,7 +94,7 @@
     /// Drops the in-memory state of a partition that this node owned until now, and answers
     /// waiting requests that their outcome is unclear.
     fn forget_partition(&self, i: &mut StoreState, partition: u32, owner: &str) {
-        i.scheduler.drop_partition(partition);
+        i.scheduler.remove_partition(partition);
         i.asking.remove(&partition);
         i.answering.retain(|key, _| key.0 != partition);
         i.fresh.forget_partition(partition);
@@ -158,12 +158,12 @@
                 Change::Failed(pos) => {
                     i.answering.remove(&(partition, pos));
                     let backoff = i.scheduler.next_backoff((partition, pos));
-                    i.scheduler.later((partition, pos), now + backoff);
+                    i.scheduler.delay_until((partition, pos), now + backoff);
                 }
                 Change::Ended(pos) => {
                     let k = (partition, pos);
                     i.answering.remove(&k);
-                    i.scheduler.forget(k);
+                    i.scheduler.remove(k);
                     if let Some(w) = i.replicas[&partition].state.pieces.get(&pos) {
                         telemetry::count(if w.state == MessageState::Settled { "settled" } else { "dead" });
                         if w.owes_notice() {
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -104,7 +104,7 @@
             let hold_until = unresponsive.hold_until(!w.item.order_key.is_empty(), w.sent_ms, taken, longest(w));
             if hold_until > time {
                 telemetry::count("runs_maybe_held");
-                i.scheduler.later((partition, pos), now + surely_over(hold_until - time));
+                i.scheduler.delay_until((partition, pos), now + surely_over(hold_until - time));
                 continue;
             }
             self.schedule(i, (partition, pos), now);
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -179,7 +179,7 @@
                 responder.send(Body::ReportAck(ReportAck { kept: true }));
                 if !outdated {
                     let backoff = i.scheduler.next_backoff(k);
-                    i.scheduler.later(k, now + backoff);
+                    i.scheduler.delay_until(k, now + backoff);
                 }
             }
             Outcome::Done | Outcome::Failed | Outcome::Never => {
@@ -203,7 +203,7 @@
                     None => {
                         responder.send(Body::ReportAck(ReportAck { kept: false }));
                         let backoff = i.scheduler.next_backoff(k);
-                        i.scheduler.later(k, now + backoff);
+                        i.scheduler.delay_until(k, now + backoff);
                     }
                 }
                 self.carry_out(i, k.0, out);
@@ -215,7 +215,7 @@
                     RetryOwner::Owner => self.schedule(i, k, now),
                     _ => {
                         let backoff = i.scheduler.next_backoff(k);
-                        i.scheduler.later(k, now + backoff);
+                        i.scheduler.delay_until(k, now + backoff);
                     }
                 }
             }
@@ -308,7 +308,7 @@
             "],\"node\":\"{}\",\"leased\":{},\"queued\":{},\"underWay\":{},\"counters\":\"{}\"}}",
             self.settings.node,
             self.leased(i),
-            i.scheduler.queued(),
+            i.scheduler.queued_count(),
             i.scheduler.in_flight.len(),
             telemetry::render()
         );
--- a/crates/store/tests/schedule.rs
+++ b/crates/store/tests/schedule.rs
@@ -195,10 +195,10 @@
 fn what_can_still_begin_in_time_goes_before_what_is_late() {
     let mut t = scheduler(vec![processor("u1", "x", "v1")], vec![]);
     for (pos, age) in [(1, 1000), (2, 1100), (3, 5000), (4, 5100)] {
-        t.ready((0, pos), QueueId::unbound("p"), age);
+        t.enqueue((0, pos), QueueId::unbound("p"), age);
     }
     let mut order = vec![];
-    while let Some(k) = t.first_ready(&QueueId::unbound("p"), 5500, 1000) {
+    while let Some(k) = t.next_ready(&QueueId::unbound("p"), 5500, 1000) {
         let c = t.choose(&service(), &Homes::default(), 1000).expect("room");
         t.launch(k, &c, &route(), 9999);
         t.land(k);
@@ -206,11 +206,11 @@
     }
     assert_eq!(order, [3, 4, 1, 2]);
     // Fresh ones keep coming: every fourth turn still goes to the oldest.
-    t.ready((0, 9), QueueId::unbound("p"), 1000);
+    t.enqueue((0, 9), QueueId::unbound("p"), 1000);
     let mut turns = 0;
     for pos in 10..20 {
-        t.ready((0, pos), QueueId::unbound("p"), 5400);
-        let k = t.first_ready(&QueueId::unbound("p"), 5500, 1000).expect("some");
+        t.enqueue((0, pos), QueueId::unbound("p"), 5400);
+        let k = t.next_ready(&QueueId::unbound("p"), 5500, 1000).expect("some");
         if k.1 == 9 {
             break;
         }
@@ -225,10 +225,10 @@
 #[test]
 fn one_that_is_only_just_in_time_is_late() {
     let mut t = scheduler(vec![processor("u1", "x", "v1")], vec![]);
-    t.ready((0, 1), QueueId::unbound("p"), 4550);
-    t.ready((0, 2), QueueId::unbound("p"), 4800);
+    t.enqueue((0, 1), QueueId::unbound("p"), 4550);
+    t.enqueue((0, 2), QueueId::unbound("p"), 4800);
     assert_eq!(
-        t.first_ready(&QueueId::unbound("p"), 5500, 1000),
+        t.next_ready(&QueueId::unbound("p"), 5500, 1000),
         Some((0, 2)),
         "950 ms of 1,000 are over for the first"
     );
