--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -363,7 +363,7 @@
 
     /// Takes a token from a service's rate limit. If there is none, the error is the time at
     /// which there will be one.
-    pub fn token(&mut self, service: &Service, now: u64) -> Result<(), u64> {
+    pub fn take_token(&mut self, service: &Service, now: u64) -> Result<(), u64> {
         if service.flow_per_s <= 0.0 {
             return Ok(());
         }
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -129,7 +129,7 @@
                     continue;
                 }
                 let Some(choice) = i.scheduler.choose(service, &queue.homes, now) else { break };
-                if let Err(at) = i.scheduler.token(service, now) {
+                if let Err(at) = i.scheduler.take_token(service, now) {
                     wake = wake.min(at);
                     break;
                 }
--- a/crates/store/tests/schedule.rs
+++ b/crates/store/tests/schedule.rs
@@ -126,11 +126,11 @@
 fn a_ceiling_holds_over_any_window_and_after_a_take_over() {
     let p = Service { flow_per_s: 40.0, endpoint: Some("10.0.0.1:80".into()), ..service() };
     let mut t = scheduler(vec![], vec![]);
-    assert!(t.token(&p, 1000).is_err(), "a new owner begins with nothing saved up");
+    assert!(t.take_token(&p, 1000).is_err(), "a new owner begins with nothing saved up");
     let mut sent = vec![];
     for now in 1000..21_000 {
         // Nothing is asked for in between: what is saved up must stay small.
-        if !(5000..12_000).contains(&now) && t.token(&p, now).is_ok() {
+        if !(5000..12_000).contains(&now) && t.take_token(&p, now).is_ok() {
             sent.push(now);
         }
     }
@@ -147,7 +147,7 @@
     let sent_in_ten_seconds = |share: f64| {
         let mut t = scheduler(vec![], vec![]);
         t.set_share(&p.name, share);
-        (1000..11_000).filter(|now| t.token(&p, *now).is_ok()).count()
+        (1000..11_000).filter(|now| t.take_token(&p, *now).is_ok()).count()
     };
     assert!((195..=200).contains(&sent_in_ten_seconds(0.5)));
     assert!((395..=400).contains(&sent_in_ten_seconds(1.0)), "the whole is the whole");
