--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -252,7 +252,7 @@
         self.callbacks.retain(|(_, k)| k.0 != partition);
         let gone: Vec<Key> = self.in_flight.keys().filter(|k| k.0 == partition).copied().collect();
         for k in gone {
-            self.land(k);
+            self.end_attempt(k);
         }
     }
 
@@ -338,7 +338,7 @@
     pub fn remove(&mut self, key: Key) {
         self.remove_queued(key);
         self.backoffs.remove(&key);
-        self.land(key);
+        self.end_attempt(key);
     }
 
     /// Counts a fruitless attempt and returns how long to back off before the next one.
@@ -406,7 +406,7 @@
     }
 
     /// Records that an attempt at a message has started.
-    pub fn launch(&mut self, key: Key, choice: &Target, route: &Route, deadline: u64) {
+    pub fn start_attempt(&mut self, key: Key, choice: &Target, route: &Route, deadline: u64) {
         self.remove_queued(key);
         let started = self.attempts_started.entry(choice.service.clone()).or_insert(0);
         *started = started.wrapping_add(1);
@@ -427,7 +427,15 @@
     }
 
     /// Records an attempt that a former owner started and a delivery node still holds.
-    pub fn adopt(&mut self, key: Key, route: &Route, service: &str, processor: &str, front: &str, deadline: u64) {
+    pub fn adopt_attempt(
+        &mut self,
+        key: Key,
+        route: &Route,
+        service: &str,
+        processor: &str,
+        front: &str,
+        deadline: u64,
+    ) {
         self.remove_queued(key);
         if self.in_flight.contains_key(&key) {
             return;
@@ -446,20 +454,20 @@
     }
 
     /// Sets the term and number of the attempt in flight.
-    pub fn name(&mut self, key: Key, term: u64, attempt: u64) {
+    pub fn set_attempt_number(&mut self, key: Key, term: u64, attempt: u64) {
         if let Some(f) = self.in_flight.get_mut(&key) {
             f.attempt = (term, attempt);
         }
     }
 
     /// Whether the attempt in flight is a different one from the given one.
-    pub fn outdated(&self, key: Key, term: u64, attempt: u64) -> bool {
+    pub fn is_outdated(&self, key: Key, term: u64, attempt: u64) -> bool {
         let differs = |a: u64, b: u64| a != 0 && b != 0 && a != b;
         self.in_flight.get(&key).is_some_and(|f| differs(f.attempt.0, term) || differs(f.attempt.1, attempt))
     }
 
     /// Removes an attempt that has ended from those in flight.
-    pub fn land(&mut self, key: Key) -> Option<InFlight> {
+    pub fn end_attempt(&mut self, key: Key) -> Option<InFlight> {
         let f = self.in_flight.remove(&key)?;
         if let Some(s) = self.processors.get_mut(&f.processor) {
             s.in_flight = s.in_flight.saturating_sub(1);
@@ -493,7 +501,7 @@
     }
 
     /// Updates the rollout samples and the processor's state from the report of an attempt.
-    pub fn learn(&mut self, f: &InFlight, r: &Report, now: u64) {
+    pub fn record_report(&mut self, f: &InFlight, r: &Report, now: u64) {
         let outcome = Outcome::try_from(r.outcome).unwrap_or(Outcome::Unknown);
         let timing = self.timing;
         if let Some(s) = self.sample(f) {
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -102,7 +102,7 @@
             // The delivery node did not report in time: the outcome is unknown, and no failed
             // attempt is counted.
             telemetry::count("runs_overdue");
-            i.scheduler.land(k);
+            i.scheduler.end_attempt(k);
             let backoff = i.scheduler.next_backoff(k);
             i.scheduler.delay_until(k, now + backoff);
         }
@@ -189,8 +189,8 @@
             revoked: false,
         };
         // A delivery node waits 5 % longer than the route's time-out.
-        i.scheduler.launch(k, &choice, route, now + timeout * 21 / 20 + self.ratio(8.0));
-        i.scheduler.name(k, run.term, attempt);
+        i.scheduler.start_attempt(k, &choice, route, now + timeout * 21 / 20 + self.ratio(8.0));
+        i.scheduler.set_attempt_number(k, run.term, attempt);
         self.carry_out(i, k.0, out);
         telemetry::count("dispatched");
         let post = self.clone();
@@ -235,7 +235,7 @@
         let mut i = self.shared.lock().unwrap();
         let i = &mut *i;
         if i.scheduler.in_flight.get(&k).is_some_and(|f| f.attempt == (term, attempt)) {
-            i.scheduler.land(k);
+            i.scheduler.end_attempt(k);
             i.scheduler.delay_until(k, self.now() + self.ratio(200.0));
             self.wake.notify_one();
         }
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -83,8 +83,8 @@
             {
                 let until = now + c.timeout_ms as u64 * 21 / 20 + self.ratio(8.0);
                 let service = agent::service_of(c, &w.item.id);
-                i.scheduler.adopt((partition, pos), c, service, &w.processor, &front, until);
-                i.scheduler.name((partition, pos), of_term, attempt);
+                i.scheduler.adopt_attempt((partition, pos), c, service, &w.processor, &front, until);
+                i.scheduler.set_attempt_number((partition, pos), of_term, attempt);
             }
         }
         let pending: Vec<u64> = m.state.pending.iter().copied().collect();
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -144,11 +144,11 @@
         }
         // A report of an attempt that was given up. It says nothing about the attempt that is in
         // flight now.
-        let outdated = i.scheduler.outdated(k, r.term, r.attempt);
+        let outdated = i.scheduler.is_outdated(k, r.term, r.attempt);
         if outdated {
             telemetry::count("reports_outdated");
-        } else if let Some(f) = i.scheduler.land(k) {
-            i.scheduler.learn(&f, &r, now);
+        } else if let Some(f) = i.scheduler.end_attempt(k) {
+            i.scheduler.record_report(&f, &r, now);
         }
         let m = &i.replicas[&k.0];
         let piece = m.state.pieces.get(&k.1);
--- a/crates/store/tests/schedule.rs
+++ b/crates/store/tests/schedule.rs
@@ -48,7 +48,7 @@
 
 fn launch(t: &mut DeliveryScheduler, pos: u64) -> Option<Target> {
     let c = t.choose(&service(), &Homes::default(), 1000)?;
-    t.launch((0, pos), &c, &route(), 9999);
+    t.start_attempt((0, pos), &c, &route(), 9999);
     Some(c)
 }
 
@@ -64,7 +64,7 @@
     let got: Vec<String> = (0..5).filter_map(|i| launch(&mut t, i)).map(|c| c.processor).collect();
     assert_eq!(got, ["u1", "u1", "u2", "u2"]);
     assert_eq!(t.choose(&service(), &Homes::default(), 1000), None);
-    t.land((0, 0));
+    t.end_attempt((0, 0));
     assert_eq!(launch(&mut t, 9).map(|c| (c.processor, c.target)), Some(("u1".into(), "u1".into())));
 }
 
@@ -72,11 +72,11 @@
 fn the_answered_run_is_not_taken_for_anothers() {
     let mut t = scheduler(vec![processor("u1", "x", "v1")], vec![]);
     launch(&mut t, 1);
-    let f = t.land((0, 1)).expect("under way");
-    t.learn(&f, &report(Outcome::Done, 200, 1), 1000);
+    let f = t.end_attempt((0, 1)).expect("under way");
+    t.record_report(&f, &report(Outcome::Done, 200, 1), 1000);
     assert!(launch(&mut t, 2).is_some() && launch(&mut t, 3).is_some(), "both slots are free");
-    let f = t.land((0, 2)).expect("under way");
-    t.learn(&f, &report(Outcome::Done, 200, 3), 1000);
+    let f = t.end_attempt((0, 2)).expect("under way");
+    t.record_report(&f, &report(Outcome::Done, 200, 3), 1000);
     assert!(t.choose(&service(), &Homes::default(), 1100).is_none(), "somebody else holds a slot");
     assert!(t.choose(&service(), &Homes::default(), 1300).is_some(), "what was told is old");
 }
@@ -85,14 +85,14 @@
 fn one_that_fails_is_left_alone_and_tried_with_one() {
     let mut t = scheduler(vec![processor("u1", "x", "v1")], vec![]);
     launch(&mut t, 1);
-    let f = t.land((0, 1)).expect("under way");
-    t.learn(&f, &report(Outcome::NotRun, 0, 0), 1000);
+    let f = t.end_attempt((0, 1)).expect("under way");
+    t.record_report(&f, &report(Outcome::NotRun, 0, 0), 1000);
     assert!(t.choose(&service(), &Homes::default(), 1050).is_none());
     let c = t.choose(&service(), &Homes::default(), 1500).expect("tried again");
-    t.launch((0, 2), &c, &route(), 9999);
+    t.start_attempt((0, 2), &c, &route(), 9999);
     assert!(t.choose(&service(), &Homes::default(), 1500).is_none(), "one at a time until it does well");
-    let f = t.land((0, 2)).expect("under way");
-    t.learn(&f, &report(Outcome::Done, 200, 1), 1500);
+    let f = t.end_attempt((0, 2)).expect("under way");
+    t.record_report(&f, &report(Outcome::Done, 200, 1), 1500);
     assert!(t.choose(&service(), &Homes::default(), 1500).is_some());
 }
 
@@ -112,7 +112,7 @@
         if launch(&mut t, i).is_some_and(|c| c.revision == "v2") {
             new += 1;
         }
-        t.land((0, i));
+        t.end_attempt((0, i));
     }
     assert!((19..=21).contains(&new), "{new} of 200");
     for (state, only) in [("settled", "v2"), ("reverted", "v1")] {
@@ -200,8 +200,8 @@
     let mut order = vec![];
     while let Some(k) = t.next_ready(&QueueId::unbound("p"), 5500, 1000) {
         let c = t.choose(&service(), &Homes::default(), 1000).expect("room");
-        t.launch(k, &c, &route(), 9999);
-        t.land(k);
+        t.start_attempt(k, &c, &route(), 9999);
+        t.end_attempt(k);
         order.push(k.1);
     }
     assert_eq!(order, [3, 4, 1, 2]);
@@ -216,8 +216,8 @@
         }
         turns += 1;
         let c = t.choose(&service(), &Homes::default(), 1000).expect("room");
-        t.launch(k, &c, &route(), 9999);
-        t.land(k);
+        t.start_attempt(k, &c, &route(), 9999);
+        t.end_attempt(k);
     }
     assert!(turns < 4);
 }
@@ -281,7 +281,7 @@
             }
             for t in &mut owners {
                 let c = launch(t, round).expect("room");
-                t.land((0, round));
+                t.end_attempt((0, round));
                 all += 1.0;
                 fresh += f64::from(c.revision == "v2");
                 assert!(fresh <= 0.1 * all + 50.0, "{fresh} of {all}, processors from round {late}");
@@ -317,15 +317,15 @@
 fn a_late_report_of_an_attempt_that_was_given_up_says_nothing_of_the_next() {
     let mut t = scheduler(vec![processor("u1", "x", "v1")], vec![]);
     launch(&mut t, 1);
-    t.name((0, 1), 4, 70);
-    assert!(!t.outdated((0, 1), 4, 70) && !t.outdated((0, 1), 0, 70) && !t.outdated((0, 2), 4, 9));
+    t.set_attempt_number((0, 1), 4, 70);
+    assert!(!t.is_outdated((0, 1), 4, 70) && !t.is_outdated((0, 1), 0, 70) && !t.is_outdated((0, 2), 4, 9));
     // Given up, and out again: by another number, or by the same one at a new term.
-    assert!(t.outdated((0, 1), 4, 60) && t.outdated((0, 1), 3, 70) && t.outdated((0, 1), 3, 80));
-    assert!(t.outdated((0, 1), 4, 80));
+    assert!(t.is_outdated((0, 1), 4, 60) && t.is_outdated((0, 1), 3, 70) && t.is_outdated((0, 1), 3, 80));
+    assert!(t.is_outdated((0, 1), 4, 80));
     // Taken over without a name: any report ends it.
-    t.land((0, 1));
-    t.adopt((0, 1), &route(), "p", "u1", "h1", 9999);
-    assert!(!t.outdated((0, 1), 3, 60));
+    t.end_attempt((0, 1));
+    t.adopt_attempt((0, 1), &route(), "p", "u1", "h1", 9999);
+    assert!(!t.is_outdated((0, 1), 3, 60));
 }
 
 #[test]
@@ -374,7 +374,7 @@
     for position in 0..2 {
         let target = t.choose(&service(), &homes, 1000).expect("room there");
         assert_eq!((target.processor.as_str(), target.front.as_str()), ("u2", "h3"));
-        t.launch((0, position), &target, &route(), 9999);
+        t.start_attempt((0, position), &target, &route(), 9999);
     }
     assert_eq!(t.choose(&service(), &homes, 1000), None, "room elsewhere is none");
     let endpoint = Service { endpoint: Some("10.0.0.9:80".into()), ..service() };
@@ -391,8 +391,8 @@
         let mut count = 0;
         for now in from..to {
             if let Some(target) = t.choose(&metered, &Homes::default(), now) {
-                t.launch((0, now), &target, &route(), now + 10);
-                t.land((0, now));
+                t.start_attempt((0, now), &target, &route(), now + 10);
+                t.end_attempt((0, now));
                 count += 1;
             }
         }
