--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -215,8 +215,8 @@
         }
         self.membership = membership.clone();
         self.by_service.clear();
-        for u in &membership.processors {
-            self.by_service.entry(u.service.clone()).or_default().push(u.clone());
+        for processor in &membership.processors {
+            self.by_service.entry(processor.service.clone()).or_default().push(processor.clone());
         }
         self.search_order = self
             .by_service
@@ -237,7 +237,7 @@
                 self.region_zones.insert(n.zone.clone());
             }
         }
-        let there: HashSet<&str> = membership.processors.iter().map(|u| u.id.as_str()).collect();
+        let there: HashSet<&str> = membership.processors.iter().map(|processor| processor.id.as_str()).collect();
         self.processors.retain(|id, s| s.in_flight > 0 || s.failures > 0 || there.contains(id.as_str()));
     }
 
--- a/crates/store/src/scheduler/choice.rs
+++ b/crates/store/src/scheduler/choice.rs
@@ -46,40 +46,47 @@
             };
         }
         let processors = self.by_service.get(&service.name)?;
-        let trying = rollout.is_some_and(|r| r.state == "running" && r.share < 1000);
-        let mut fit = if trying && wants_new == Some(true) {
+        let is_on_trial = rollout.is_some_and(|r| r.state == "running" && r.share < 1000);
+        let mut found = if is_on_trial && wants_new == Some(true) {
             // During a rollout the few attempts at the new revision are concentrated on as few
             // processors as possible, so that faults which only appear under load are seen before
             // the share is raised.
-            self.packed(processors, now, |u| u.revision == target && self.may_run(u, homes))
+            self.first_with_capacity(processors, now, |processor| {
+                processor.revision == target && self.may_run(processor, homes)
+            })
         } else {
-            let is_wanted = |u: &Processor| wants_new.is_none_or(|w| (u.revision == target) == w);
-            self.best(service, processors, now, |u| is_wanted(u) && self.may_run(u, homes))
+            let is_wanted = |processor: &Processor| wants_new.is_none_or(|w| (processor.revision == target) == w);
+            self.least_loaded(service, processors, now, |processor| {
+                is_wanted(processor) && self.may_run(processor, homes)
+            })
         };
-        if fit.is_none() && wants_new == Some(true) && trying {
-            let is_former = |u: &Processor| u.revision != target;
-            fit = self.best(service, processors, now, |u| is_former(u) && self.may_run(u, homes));
+        if found.is_none() && wants_new == Some(true) && is_on_trial {
+            let is_former = |processor: &Processor| processor.revision != target;
+            found = self.least_loaded(service, processors, now, |processor| {
+                is_former(processor) && self.may_run(processor, homes)
+            });
         }
-        let u = fit?.clone();
-        if self.is_metered_cold(service, &u) && !self.cold_buckets.take(&u.id, service.cold_per_s, now) {
+        let processor = found?.clone();
+        if self.is_metered_cold(service, &processor) && !self.cold_buckets.take(&processor.id, service.cold_per_s, now)
+        {
             return None;
         }
         if let Some(r) = rollout.filter(|r| r.state == "running") {
             let credit = self.rollout_credits.entry(service.name.clone()).or_insert(0.5);
             *credit = (*credit + f64::from(r.share) / 1000.0).min(2.0);
-            if u.revision == r.target {
+            if processor.revision == r.target {
                 *credit -= 1.0;
             }
         }
-        let (front, inner) = self.front(&u.id, &u.zone, homes)?;
+        let (front, inner) = self.front(&processor.id, &processor.zone, homes)?;
         Some(Target {
             service: service.name.clone(),
             front: front.to_owned(),
             front_inner: inner.to_owned(),
-            processor: u.id.clone(),
-            target: u.id,
-            address: u.address,
-            revision: u.revision,
+            processor: processor.id.clone(),
+            target: processor.id,
+            address: processor.address,
+            revision: processor.revision,
         })
     }
 
@@ -111,7 +118,10 @@
     /// Whether there is any possibly cold processor whose service limits the rate to cold
     /// processors, as told by `is_metered`.
     pub fn has_metered_cold(&self, is_metered: impl Fn(&str) -> bool) -> bool {
-        self.membership.processors.iter().any(|u| self.may_be_cold(u) && !u.draining && is_metered(&u.service))
+        self.membership
+            .processors
+            .iter()
+            .any(|processor| self.may_be_cold(processor) && !processor.draining && is_metered(&processor.service))
     }
 
     /// Takes in a lease on cold processors that the leader has granted to this owner.
@@ -126,24 +136,25 @@
 
     /// The first fitting processor, by id, that has spare capacity, so that all owners choose the
     /// same one.
-    fn packed<'a>(
+    fn first_with_capacity<'a>(
         &self,
         processors: &'a [Processor],
         now: u64,
         fits: impl Fn(&Processor) -> bool,
     ) -> Option<&'a Processor> {
         // Cold processors are slow for a while, which would count against the new revision.
-        let is_apt = |u: &&Processor| self.is_usable(u) && !self.may_be_cold(u) && fits(u);
-        processors.iter().filter(is_apt).find(|u| {
-            let (load, s) = self.load(&u.id, now);
-            now >= s.backoff_until && load < if s.failures > 0 { 1 } else { u.capacity.max(1) }
+        let is_fitting =
+            |processor: &&Processor| self.is_usable(processor) && !self.may_be_cold(processor) && fits(processor);
+        processors.iter().filter(is_fitting).find(|processor| {
+            let (load, s) = self.load(&processor.id, now);
+            now >= s.backoff_until && load < if s.failures > 0 { 1 } else { processor.capacity.max(1) }
         })
     }
 
     /// The least loaded fitting processor, with nearer zones preferred. Ties are broken by this
     /// owner's own search order: owners know little of each other's attempts and would otherwise
     /// all choose the same processor.
-    fn best<'a>(
+    fn least_loaded<'a>(
         &self,
         service: &Service,
         processors: &'a [Processor],
@@ -152,25 +163,28 @@
     ) -> Option<&'a Processor> {
         let mut best: Option<(f64, &Processor)> = None;
         let order = self.search_order.get(&service.name)?.iter().map(|n| &processors[*n]);
-        for u in order.filter(|u| self.is_usable(u) && fits(u) && self.has_cold_token(service, u, now)) {
-            let (load, s) = self.load(&u.id, now);
-            let capacity = u.capacity.max(1);
+        for processor in order.filter(|processor| {
+            self.is_usable(processor) && fits(processor) && self.has_cold_token(service, processor, now)
+        }) {
+            let (load, s) = self.load(&processor.id, now);
+            let capacity = processor.capacity.max(1);
             let room = if s.failures > 0 { 1 } else { capacity };
             if now < s.backoff_until || load >= room {
                 continue;
             }
-            let far = if u.zone == self.zone {
+            let far = if processor.zone == self.zone {
                 0.0
-            } else if self.region_zones.contains(&u.zone) {
+            } else if self.region_zones.contains(&processor.zone) {
                 0.5
             } else {
                 1.0
             };
-            let score = f64::from(load) / f64::from(capacity) + far + if self.may_be_cold(u) { 0.5 } else { 0.0 };
+            let score =
+                f64::from(load) / f64::from(capacity) + far + if self.may_be_cold(processor) { 0.5 } else { 0.0 };
             if best.is_none_or(|(b, _)| score < b) {
-                best = Some((score, u));
+                best = Some((score, processor));
             }
         }
-        best.map(|(_, u)| u)
+        best.map(|(_, processor)| processor)
     }
 }
