--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -9,5 +9,5 @@
 pub use queue::QueueId;
 pub use scheduler::*;
 pub use service::run;
-pub use takeover::{delivery_nodes_to_ask, silent_nodes, stored_form};
+pub use takeover::{delivery_nodes_to_query, stored_form, unresponsive_nodes};
 pub use uncommitted::{AcceptNames, UncommittedAccepts};
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -1,7 +1,7 @@
 //! Recovery of a new owner: queries the delivery nodes for the attempts that they hold.
 
 use super::*;
-use crate::takeover::{delivery_nodes_to_ask, silent_nodes};
+use crate::takeover::{delivery_nodes_to_query, unresponsive_nodes};
 use agent::ClusterView;
 
 impl StoreService {
@@ -9,9 +9,9 @@
     /// query.
     async fn known_delivery_nodes(&self) -> Option<Vec<Node>> {
         let mut views = self.session.subscribe();
-        let to_ask = |view: &ClusterView| delivery_nodes_to_ask(&view.membership, &self.former_nodes);
-        let view = views.wait_for(|view| to_ask(view).is_some()).await.ok()?;
-        to_ask(&view)
+        let to_query = |view: &ClusterView| delivery_nodes_to_query(&view.membership, &self.former_nodes);
+        let view = views.wait_for(|view| to_query(view).is_some()).await.ok()?;
+        to_query(&view)
     }
 
     /// After a take-over, asks the delivery nodes for the attempts that they hold, adopts those and
@@ -93,14 +93,17 @@
             timeout + self.ratio(16.0)
         };
         let at_work = pending.iter().map(|pos| &m.state.pieces[pos]).filter(|w| w.sent_ms + longest(w) > taken);
-        let silent = silent_nodes(&answered, names.iter().map(String::as_str), at_work.map(|w| w.node.as_str()));
+        let unresponsive_nodes =
+            unresponsive_nodes(&answered, names.iter().map(String::as_str), at_work.map(|w| w.node.as_str()));
         let owed: Vec<u64> = m.state.pieces.iter().filter(|(_, w)| w.owes_notice()).map(|(p, _)| *p).collect();
         for pos in pending {
             // A missing answer does not mean that nothing is held: a message last dispatched to
             // such a node waits until that attempt cannot be running any more.
             let w = &i.replicas[&partition].state.pieces[&pos];
-            let unresponsive =
-                UnresponsiveNodes { any: seized && !silent.is_empty(), last_recipient: silent.contains(&w.node) };
+            let unresponsive = UnresponsiveNodes {
+                any: seized && !unresponsive_nodes.is_empty(),
+                last_recipient: unresponsive_nodes.contains(&w.node),
+            };
             let hold_until = unresponsive.hold_until(!w.item.order_key.is_empty(), w.sent_ms, taken, longest(w));
             if hold_until > time {
                 telemetry::count("runs_maybe_held");
--- a/crates/store/src/takeover.rs
+++ b/crates/store/src/takeover.rs
@@ -27,7 +27,7 @@
 /// membership, and those of the previous incarnation's membership that it does not list. `None`
 /// until this incarnation has received a membership from a leader: an unknown node cannot be
 /// queried, so the owner waits.
-pub fn delivery_nodes_to_ask(current: &Membership, former: &[Node]) -> Option<Vec<Node>> {
+pub fn delivery_nodes_to_query(current: &Membership, former: &[Node]) -> Option<Vec<Node>> {
     if current.version == 0 {
         return None;
     }
@@ -41,7 +41,7 @@
 
 /// The delivery nodes that may hold an attempt unknown to the new owner: those that were queried
 /// and did not answer, and those to which the log has a dispatch and which were not queried.
-pub fn silent_nodes<'a>(
+pub fn unresponsive_nodes<'a>(
     answered: &HashSet<String>,
     asked: impl IntoIterator<Item = &'a str>,
     given: impl IntoIterator<Item = &'a str>,
