--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -10,4 +10,4 @@
 pub use scheduler::*;
 pub use service::run;
 pub use takeover::{delivery_nodes_to_query, stored_form, unresponsive_nodes};
-pub use uncommitted::{AcceptNames, UncommittedAccepts};
+pub use uncommitted::{AcceptIdentity, UncommittedAccepts};
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -15,7 +15,7 @@
 
 use crate::queue::QueueId;
 use crate::scheduler::*;
-use crate::uncommitted::{AcceptNames, UncommittedAccepts};
+use crate::uncommitted::{AcceptIdentity, UncommittedAccepts};
 use agent::Session;
 use bytes::Bytes;
 use config::{Role, Settings};
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -97,7 +97,7 @@
         i.scheduler.remove_partition(partition);
         i.asking.remove(&partition);
         i.answering.retain(|key, _| key.0 != partition);
-        i.fresh.forget_partition(partition);
+        i.fresh.remove_partition(partition);
         i.notified.remove(&partition);
         let waited_for: Vec<Key> = i.waiters.keys().filter(|key| key.0 == partition).copied().collect();
         for key in waited_for {
@@ -134,21 +134,21 @@
             match c {
                 Change::Accepted(pos) => {
                     telemetry::count("accepted");
-                    i.fresh.forget((partition, pos));
+                    i.fresh.remove((partition, pos));
                     self.answer_waiters(i, (partition, pos), &accepted(AcceptOutcome::Taken, pos, ""));
                     self.schedule(i, (partition, pos), now);
                 }
                 Change::Repeated { at, old } => {
                     telemetry::count("accepts_repeated");
-                    i.fresh.forget((partition, at));
+                    i.fresh.remove((partition, at));
                     self.answer_waiters(i, (partition, at), &accepted(AcceptOutcome::Taken, old, ""));
                 }
                 Change::PlacedElsewhere { at, placement } => {
-                    i.fresh.forget((partition, at));
+                    i.fresh.remove((partition, at));
                     self.answer_waiters(i, (partition, at), &placed_elsewhere(&placement));
                 }
                 Change::OrderPlacedElsewhere { at } => {
-                    i.fresh.forget((partition, at));
+                    i.fresh.remove((partition, at));
                     let answer = accepted(AcceptOutcome::OrderPlacedElsewhere, 0, "");
                     self.answer_waiters(i, (partition, at), &answer);
                 }
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -85,14 +85,14 @@
             return;
         }
         let Some((a, responder)) = self.admit_by_quota(i, a, responder, waited_until_ms) else { return };
-        let names = AcceptNames::of(&a.item);
+        let identity = AcceptIdentity::of(&a.item);
         let generations = (a.generations != PlacementGenerations::default()).then_some(a.generations);
         let accept = AcceptRecord { item: a.item, delay_ms: a.delay_ms, generations };
         let record = Record { at_ms, entry: Some(Entry::Accept(accept)) };
         let mut out = Vec::new();
         match self.append(i, p, &record, &mut out) {
             Some(pos) => {
-                i.fresh.insert((p, pos), names);
+                i.fresh.insert((p, pos), identity);
                 i.waiters.entry((p, pos)).or_default().push(Waiter::Accept(responder));
             }
             None => responder.send(accepted(AcceptOutcome::Elsewhere, 0, "")),
--- a/crates/store/src/uncommitted.rs
+++ b/crates/store/src/uncommitted.rs
@@ -8,22 +8,22 @@
 
 /// The fields by which a retry of an accept is recognised.
 #[derive(Clone, Debug)]
-pub struct AcceptNames {
+pub struct AcceptIdentity {
     tenant: String,
     id: String,
     operation: Option<OperationId>,
 }
 
-impl AcceptNames {
-    pub fn of(item: &Item) -> AcceptNames {
-        AcceptNames { tenant: item.tenant.clone(), id: item.id.clone(), operation: item.operation }
+impl AcceptIdentity {
+    pub fn of(item: &Item) -> AcceptIdentity {
+        AcceptIdentity { tenant: item.tenant.clone(), id: item.id.clone(), operation: item.operation }
     }
 }
 
 /// The uncommitted accepts of all partitions.
 #[derive(Debug, Default)]
 pub struct UncommittedAccepts {
-    names: HashMap<Key, AcceptNames>,
+    identities: HashMap<Key, AcceptIdentity>,
     /// Log positions by partition, tenant and id.
     ids: HashMap<(u32, String, String), u64>,
     operations: HashMap<(u32, OperationId), u64>,
@@ -43,29 +43,29 @@
     }
 
     /// Adds an accept that was appended.
-    pub fn insert(&mut self, key: Key, names: AcceptNames) {
+    pub fn insert(&mut self, key: Key, identity: AcceptIdentity) {
         let (partition, position) = key;
-        self.ids.insert((partition, names.tenant.clone(), names.id.clone()), position);
-        if let Some(operation) = names.operation {
+        self.ids.insert((partition, identity.tenant.clone(), identity.id.clone()), position);
+        if let Some(operation) = identity.operation {
             self.operations.insert((partition, operation), position);
         }
-        self.names.insert(key, names);
+        self.identities.insert(key, identity);
     }
 
     /// Removes an accept that was committed, as a new message or as a repeat of one.
-    pub fn forget(&mut self, key: Key) {
-        let Some(names) = self.names.remove(&key) else { return };
-        self.ids.remove(&(key.0, names.tenant, names.id));
-        if let Some(operation) = names.operation {
+    pub fn remove(&mut self, key: Key) {
+        let Some(identity) = self.identities.remove(&key) else { return };
+        self.ids.remove(&(key.0, identity.tenant, identity.id));
+        if let Some(operation) = identity.operation {
             self.operations.remove(&(key.0, operation));
         }
     }
 
     /// Removes all accepts of a partition that this node no longer owns.
-    pub fn forget_partition(&mut self, partition: u32) {
-        let gone: Vec<Key> = self.names.keys().filter(|key| key.0 == partition).copied().collect();
+    pub fn remove_partition(&mut self, partition: u32) {
+        let gone: Vec<Key> = self.identities.keys().filter(|key| key.0 == partition).copied().collect();
         for key in gone {
-            self.forget(key);
+            self.remove(key);
         }
     }
 }
--- a/crates/store/tests/uncommitted.rs
+++ b/crates/store/tests/uncommitted.rs
@@ -1,7 +1,7 @@
 //! Which accepts wait for one that is written and not committed yet.
 
 use rpc::messages::{Item, OperationId};
-use store::{AcceptNames, UncommittedAccepts};
+use store::{AcceptIdentity, UncommittedAccepts};
 
 fn item(tenant: &str, id: &str, operation: u64) -> Item {
     let operation = (operation > 0).then_some(OperationId { high: operation, low: 1 });
@@ -10,7 +10,7 @@
 
 fn with_one() -> UncommittedAccepts {
     let mut accepts = UncommittedAccepts::default();
-    accepts.insert((3, 9), AcceptNames::of(&item("clinic", "m1", 5)));
+    accepts.insert((3, 9), AcceptIdentity::of(&item("clinic", "m1", 5)));
     accepts
 }
 
@@ -29,11 +29,11 @@
 #[test]
 fn nothing_waits_for_what_is_committed_or_owned_elsewhere() {
     let mut committed = with_one();
-    committed.forget((3, 9));
+    committed.remove((3, 9));
     assert_eq!(committed.find(3, &item("clinic", "m1", 5)), None);
     let mut moved = with_one();
-    moved.insert((4, 2), AcceptNames::of(&item("clinic", "m3", 7)));
-    moved.forget_partition(3);
+    moved.insert((4, 2), AcceptIdentity::of(&item("clinic", "m3", 7)));
+    moved.remove_partition(3);
     assert_eq!(moved.find(3, &item("clinic", "m1", 5)), None);
     assert_eq!(moved.find(4, &item("clinic", "m4", 7)), Some((4, 2)));
 }
