--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -40,24 +40,24 @@
     scheduler: DeliveryScheduler,
     /// Requests to answer once a log position is committed.
     waiters: HashMap<Key, Vec<Waiter>>,
-    fresh: UncommittedAccepts,
+    uncommitted_accepts: UncommittedAccepts,
     /// By message, the report that is appended but not committed yet: its attempt and its log
     /// position.
-    answering: HashMap<Key, (u64, u64)>,
+    uncommitted_reports: HashMap<Key, (u64, u64)>,
     /// Partitions taken over for which the query of the delivery nodes is not finished, with the
     /// end of the log at the take-over. Messages after it cannot have been dispatched by a former
     /// owner.
-    asking: HashMap<u32, u64>,
+    recovering: HashMap<u32, u64>,
     /// Present if tenants' limits are enforced.
     quota: Option<quota::QuotaState>,
     /// The configuration revision by which messages were last assigned to queues.
     queued_by_revision: u64,
     lease_until: u64,
     /// By partition, messages whose call-back was delivered and not recorded in the log yet.
-    notified: HashMap<u32, Vec<u64>>,
+    called_back: HashMap<u32, Vec<u64>>,
     leaving: bool,
     /// Store nodes whose disks are slow or do not answer, as reported by the leader.
-    lagging: Vec<String>,
+    lagging_nodes: Vec<String>,
     memory_limit: usize,
 }
 
@@ -233,15 +233,15 @@
             replicas,
             scheduler,
             waiters: HashMap::new(),
-            fresh: UncommittedAccepts::default(),
-            answering: HashMap::new(),
-            asking: HashMap::new(),
+            uncommitted_accepts: UncommittedAccepts::default(),
+            uncommitted_reports: HashMap::new(),
+            recovering: HashMap::new(),
             quota: quota::quota_state(&settings),
             queued_by_revision: 0,
             lease_until: 0,
-            notified: HashMap::new(),
+            called_back: HashMap::new(),
             leaving: false,
-            lagging: Vec::new(),
+            lagging_nodes: Vec::new(),
             // Half of the memory is for messages.
             memory_limit: (settings.limits.memory_mb << 20) as usize / 2,
         }),
--- a/crates/store/src/service/audit.rs
+++ b/crates/store/src/service/audit.rs
@@ -45,18 +45,18 @@
         let scheduled = i.scheduler.scheduled();
         let mut waiting = Waiting::default();
         for replica in i.replicas.values().filter(|replica| replica.open()) {
-            let asked_up_to = i.asking.get(&replica.id).copied().unwrap_or(0);
+            let recovering_up_to = i.recovering.get(&replica.id).copied().unwrap_or(0);
             for position in &replica.state.pending {
                 let key = (replica.id, *position);
                 if scheduled.contains(&key) {
                     continue;
                 }
                 let is_head = replica.state.pieces.get(position).is_some_and(|w| replica.state.is_head(*position, w));
-                if *position <= asked_up_to || !replica.caught_up() {
+                if *position <= recovering_up_to || !replica.caught_up() {
                     waiting.taken_over += 1;
                 } else if !is_head {
                     waiting.behind_another += 1;
-                } else if i.answering.contains_key(&key) {
+                } else if i.uncommitted_reports.contains_key(&key) {
                     waiting.answering += 1;
                 } else {
                     waiting.unscheduled.push(key);
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -10,7 +10,7 @@
         if m.role != ReplicaRole::Owner
             || w.state != MessageState::Pending
             || !m.state.is_head(k.1, w)
-            || i.answering.contains_key(&k)
+            || i.uncommitted_reports.contains_key(&k)
         {
             return;
         }
@@ -114,8 +114,8 @@
             i.scheduler.set_share(name, share);
             let target_start = known.configuration.target_start_ms(name) as u64;
             while let Some(k) = i.scheduler.next_ready(&queue, now, target_start) {
-                let asked = i.asking.get(&k.0).is_some_and(|end| k.1 <= *end);
-                if asked || i.replicas.get(&k.0).is_none_or(|m| !m.open()) {
+                let is_recovering = i.recovering.get(&k.0).is_some_and(|end| k.1 <= *end);
+                if is_recovering || i.replicas.get(&k.0).is_none_or(|m| !m.open()) {
                     // The partition was just taken over, or it is moving: retried later.
                     i.scheduler.remove_queued(k);
                     i.scheduler.delay_until(k, now + self.ratio(100.0));
@@ -277,11 +277,11 @@
                 }
                 if status == 200 {
                     telemetry::count("call_backs_taken");
-                    i.notified.entry(k.0).or_default().push(k.1);
+                    i.called_back.entry(k.0).or_default().push(k.1);
                     if let Some(m) = i.replicas.get_mut(&k.0)
                         && m.role != ReplicaRole::Owner
                     {
-                        i.notified.remove(&k.0);
+                        i.called_back.remove(&k.0);
                     }
                 } else {
                     telemetry::count("call_backs_missed");
--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -23,7 +23,7 @@
                 if known.configuration.revision > m.state.revision {
                     records.push(Entry::Routes(m.state.since_known(routes(&known.configuration))));
                 }
-                if let Some(n) = i.notified.remove(&p).filter(|n| !n.is_empty()) {
+                if let Some(n) = i.called_back.remove(&p).filter(|n| !n.is_empty()) {
                     records.push(Entry::Notified(Positions { positions: n }));
                 }
                 if rounds.is_multiple_of(10) {
@@ -49,8 +49,9 @@
             let m = &i.replicas[&p];
             if m.role == ReplicaRole::Owner && !m.is_moving() && !i.leaving && rounds.is_multiple_of(10) {
                 let preferred = m.replicas.first().cloned().unwrap_or_default();
-                let keeps_up =
-                    |node: &String| !i.lagging.contains(node) && known.node(node, "store").is_some_and(|n| !n.leaving);
+                let keeps_up = |node: &String| {
+                    !i.lagging_nodes.contains(node) && known.node(node, "store").is_some_and(|n| !n.leaving)
+                };
                 // With a slow disk here, move to a node whose disk keeps up until this one
                 // recovers. This node's copy counts until another one has replaced it.
                 let to = match lag {
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -69,7 +69,7 @@
                     self.forget_partition(i, partition, "");
                     let m = &i.replicas[&partition];
                     let term = m.term;
-                    i.asking.insert(partition, m.end());
+                    i.recovering.insert(partition, m.end());
                     telemetry::change!(
                         "owner of partition {partition} at term {term}{}",
                         if seized { ", seized" } else { "" }
@@ -95,10 +95,10 @@
     /// waiting requests that their outcome is unclear.
     fn forget_partition(&self, i: &mut StoreState, partition: u32, owner: &str) {
         i.scheduler.remove_partition(partition);
-        i.asking.remove(&partition);
-        i.answering.retain(|key, _| key.0 != partition);
-        i.fresh.remove_partition(partition);
-        i.notified.remove(&partition);
+        i.recovering.remove(&partition);
+        i.uncommitted_reports.retain(|key, _| key.0 != partition);
+        i.uncommitted_accepts.remove_partition(partition);
+        i.called_back.remove(&partition);
         let waited_for: Vec<Key> = i.waiters.keys().filter(|key| key.0 == partition).copied().collect();
         for key in waited_for {
             for waiter in i.waiters.remove(&key).into_iter().flatten() {
@@ -134,21 +134,21 @@
             match c {
                 Change::Accepted(pos) => {
                     telemetry::count("accepted");
-                    i.fresh.remove((partition, pos));
+                    i.uncommitted_accepts.remove((partition, pos));
                     self.answer_waiters(i, (partition, pos), &accepted(AcceptOutcome::Taken, pos, ""));
                     self.schedule(i, (partition, pos), now);
                 }
                 Change::Repeated { at, old } => {
                     telemetry::count("accepts_repeated");
-                    i.fresh.remove((partition, at));
+                    i.uncommitted_accepts.remove((partition, at));
                     self.answer_waiters(i, (partition, at), &accepted(AcceptOutcome::Taken, old, ""));
                 }
                 Change::PlacedElsewhere { at, placement } => {
-                    i.fresh.remove((partition, at));
+                    i.uncommitted_accepts.remove((partition, at));
                     self.answer_waiters(i, (partition, at), &placed_elsewhere(&placement));
                 }
                 Change::OrderPlacedElsewhere { at } => {
-                    i.fresh.remove((partition, at));
+                    i.uncommitted_accepts.remove((partition, at));
                     let answer = accepted(AcceptOutcome::OrderPlacedElsewhere, 0, "");
                     self.answer_waiters(i, (partition, at), &answer);
                 }
@@ -156,13 +156,13 @@
                     self.answer_waiters(i, (partition, at), &accepted(AcceptOutcome::StaysHere, 0, ""));
                 }
                 Change::Failed(pos) => {
-                    i.answering.remove(&(partition, pos));
+                    i.uncommitted_reports.remove(&(partition, pos));
                     let backoff = i.scheduler.next_backoff((partition, pos));
                     i.scheduler.delay_until((partition, pos), now + backoff);
                 }
                 Change::Ended(pos) => {
                     let k = (partition, pos);
-                    i.answering.remove(&k);
+                    i.uncommitted_reports.remove(&k);
                     i.scheduler.remove(k);
                     if let Some(w) = i.replicas[&partition].state.pieces.get(&pos) {
                         telemetry::count(if w.state == MessageState::Settled { "settled" } else { "dead" });
--- a/crates/store/src/service/lease.rs
+++ b/crates/store/src/service/lease.rs
@@ -65,7 +65,7 @@
                         for c in &a.outdated {
                             self.step(&mut guard, c.id, |m, now, out| m.assignments(c, now, out));
                         }
-                        guard.lagging = a.lagging;
+                        guard.lagging_nodes = a.lagging;
                     }
                     let timed = {
                         let mut carried = self.cluster_time.lock().unwrap();
--- a/crates/store/src/service/placements.rs
+++ b/crates/store/src/service/placements.rs
@@ -19,7 +19,7 @@
             return;
         };
         if let PlacementSubject::Operation(operation) = subject
-            && let Some(key) = i.fresh.find_operation(partition, *operation)
+            && let Some(key) = i.uncommitted_accepts.find_operation(partition, *operation)
         {
             i.waiters.entry(key).or_default().push(Waiter::Accept(responder));
             return;
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -70,7 +70,7 @@
         if i.replicas.get(&partition).is_none_or(|m| m.term != term || m.role != ReplicaRole::Owner) {
             return;
         }
-        i.asking.remove(&partition);
+        i.recovering.remove(&partition);
         let now = self.now();
         let time = self.owner_time(i, partition);
         let taken = time.saturating_sub(now - taken_at);
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -42,7 +42,7 @@
             responder.send(accepted(AcceptOutcome::Elsewhere, 0, &owner));
             return;
         }
-        if let Some(k) = i.fresh.find(p, &a.item) {
+        if let Some(k) = i.uncommitted_accepts.find(p, &a.item) {
             i.waiters.entry(k).or_default().push(Waiter::Accept(responder));
             return;
         }
@@ -92,7 +92,7 @@
         let mut out = Vec::new();
         match self.append(i, p, &record, &mut out) {
             Some(pos) => {
-                i.fresh.insert((p, pos), identity);
+                i.uncommitted_accepts.insert((p, pos), identity);
                 i.waiters.entry((p, pos)).or_default().push(Waiter::Accept(responder));
             }
             None => responder.send(accepted(AcceptOutcome::Elsewhere, 0, "")),
@@ -183,7 +183,7 @@
                 }
             }
             Outcome::Done | Outcome::Failed | Outcome::Never => {
-                if let Some((attempt, at)) = i.answering.get(&k).copied()
+                if let Some((attempt, at)) = i.uncommitted_reports.get(&k).copied()
                     && attempt == r.attempt
                 {
                     // A repeated report whose record is not committed yet.
@@ -196,7 +196,7 @@
                 let mut out = Vec::new();
                 match self.append(i, k.0, &record, &mut out) {
                     Some(pos) => {
-                        i.answering.insert(k, (r.attempt, pos));
+                        i.uncommitted_reports.insert(k, (r.attempt, pos));
                         i.waiters.entry((k.0, pos)).or_default().push(Waiter::Report(responder));
                     }
                     // The delivery node reports it again; until then the message stays scheduled.
