--- a/crates/store/src/service/audit.rs
+++ b/crates/store/src/service/audit.rs
@@ -23,7 +23,7 @@
     /// Audits the schedule every `AUDIT_TICKS` ticks and schedules the messages that it finds
     /// unscheduled.
     pub(super) fn audit(&self, i: &mut StoreState, rounds: u64) {
-        if !rounds.is_multiple_of(AUDIT_TICKS) || !self.leased(i) {
+        if !rounds.is_multiple_of(AUDIT_TICKS) || !self.has_lease(i) {
             return;
         }
         let waiting = self.waiting(i);
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -86,7 +86,7 @@
         let mut guard = self.shared.lock().unwrap();
         let i = &mut *guard;
         let mut wake = now + self.ratio(20.0);
-        if !self.leased(i) {
+        if !self.has_lease(i) {
             return wake;
         }
         i.scheduler.update_view(&known.membership, &known.assignments);
--- a/crates/store/src/service/lease.rs
+++ b/crates/store/src/service/lease.rs
@@ -4,7 +4,7 @@
 
 impl StoreService {
     /// Whether this node holds the lease now and may act as owner.
-    pub(super) fn leased(&self, i: &StoreState) -> bool {
+    pub(super) fn has_lease(&self, i: &StoreState) -> bool {
         self.now() < i.lease_until
     }
 
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -104,7 +104,7 @@
     /// ask, which is empty if not known.
     pub(super) fn other_owner(&self, i: &StoreState, partition: u32) -> Option<String> {
         match i.replicas.get(&partition) {
-            Some(replica) if replica.open() && self.leased(i) => None,
+            Some(replica) if replica.open() && self.has_lease(i) => None,
             Some(replica) if replica.owner != self.settings.node => Some(replica.owner.clone()),
             _ => Some(String::new()),
         }
@@ -256,7 +256,7 @@
     /// Bodies may come from any replica, as committed bytes are the same in each copy.
     pub(super) fn lookup(&self, i: &StoreState, l: &Lookup) -> Found {
         let Some(replica) = i.replicas.get(&l.partition) else { return Found::default() };
-        let speaks = replica.role == ReplicaRole::Owner && self.leased(i);
+        let speaks = replica.role == ReplicaRole::Owner && self.has_lease(i);
         let by_id = || replica.state.find(&l.tenant, &l.id).or_else(|| replica.state.find("", &l.id));
         let position = if l.id.is_empty() { Some(l.position) } else { by_id() };
         match position.and_then(|position| replica.state.pieces.get(&position)) {
@@ -307,7 +307,7 @@
             s,
             "],\"node\":\"{}\",\"leased\":{},\"queued\":{},\"underWay\":{},\"counters\":\"{}\"}}",
             self.settings.node,
-            self.leased(i),
+            self.has_lease(i),
             i.scheduler.queued_count(),
             i.scheduler.in_flight.len(),
             telemetry::render()
