--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -102,9 +102,9 @@
         runs || i.lease_until > 0 || self.cluster_time().is_some()
     }
 
-    /// The given fraction of `quietMs`, in milliseconds.
-    fn ratio(&self, part: f64) -> u64 {
-        (self.settings.constraints.quiet_ms / part) as u64
+    /// `quietMs` divided by `divisor`, in milliseconds.
+    fn quiet_fraction_ms(&self, divisor: f64) -> u64 {
+        (self.settings.constraints.quiet_ms / divisor) as u64
     }
 
     fn timing(&self) -> Timing {
@@ -314,7 +314,7 @@
     tokio::spawn(async move {
         let mut rounds = 0;
         loop {
-            tokio::time::sleep(Duration::from_millis(p.ratio(64.0))).await;
+            tokio::time::sleep(Duration::from_millis(p.quiet_fraction_ms(64.0))).await;
             rounds += 1;
             p.tick(rounds);
         }
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -16,7 +16,7 @@
         }
         let Some(time) = m.time(now) else {
             // The time comes with the lease, and nothing is dispatched without one.
-            i.scheduler.delay_until(k, now + self.ratio(100.0));
+            i.scheduler.delay_until(k, now + self.quiet_fraction_ms(100.0));
             return;
         };
         let due = w.at_ms + surely_over(w.due_ms.saturating_sub(w.at_ms));
@@ -33,7 +33,7 @@
             // here, or its route was removed, which a log record is about to say.
             None => {
                 telemetry::count("routes_not_known_yet");
-                i.scheduler.delay_until(k, now + self.ratio(40.0));
+                i.scheduler.delay_until(k, now + self.quiet_fraction_ms(40.0));
             }
         }
     }
@@ -85,7 +85,7 @@
         let known = self.session.known();
         let mut guard = self.shared.lock().unwrap();
         let i = &mut *guard;
-        let mut wake = now + self.ratio(20.0);
+        let mut wake = now + self.quiet_fraction_ms(20.0);
         if !self.has_lease(i) {
             return wake;
         }
@@ -118,14 +118,14 @@
                 if is_recovering || i.replicas.get(&k.0).is_none_or(|m| !m.open()) {
                     // The partition was just taken over, or it is moving: retried later.
                     i.scheduler.remove_queued(k);
-                    i.scheduler.delay_until(k, now + self.ratio(100.0));
+                    i.scheduler.delay_until(k, now + self.quiet_fraction_ms(100.0));
                     continue;
                 }
                 let item = i.replicas.get(&k.0).and_then(|m| m.state.pieces.get(&k.1)).map(|w| &w.item);
                 if item.and_then(|item| QueueId::of(&known.configuration, item)).is_none_or(|now| now != queue) {
                     // Its route was changed or removed since it was queued: rescheduled.
                     i.scheduler.remove_queued(k);
-                    i.scheduler.delay_until(k, now + self.ratio(400.0));
+                    i.scheduler.delay_until(k, now + self.quiet_fraction_ms(400.0));
                     continue;
                 }
                 let Some(choice) = i.scheduler.choose(service, &queue.homes, now) else { break };
@@ -135,7 +135,7 @@
                 }
                 if !self.dispatch(i, &known, k, service, choice, now) {
                     i.scheduler.remove_queued(k);
-                    i.scheduler.delay_until(k, now + self.ratio(100.0));
+                    i.scheduler.delay_until(k, now + self.quiet_fraction_ms(100.0));
                 }
                 touched.insert(k.0);
             }
@@ -189,7 +189,7 @@
             revoked: false,
         };
         // A delivery node waits 5 % longer than the route's time-out.
-        i.scheduler.start_attempt(k, &choice, route, now + timeout * 21 / 20 + self.ratio(8.0));
+        i.scheduler.start_attempt(k, &choice, route, now + timeout * 21 / 20 + self.quiet_fraction_ms(8.0));
         i.scheduler.set_attempt_number(k, run.term, attempt);
         self.carry_out(i, k.0, out);
         telemetry::count("dispatched");
@@ -203,7 +203,7 @@
     pub(super) async fn run(self: Arc<Self>, run: Run, choice: Target) {
         let k = (run.partition, run.position);
         let (term, attempt) = (run.term, run.attempt);
-        let wait = Duration::from_millis(self.ratio(8.0));
+        let wait = Duration::from_millis(self.quiet_fraction_ms(8.0));
         let end = self.rpc_clients.to(&choice.front_inner);
         let (item, address, processor) = (Item::default(), String::new(), String::new());
         let revoke = Run { revoked: true, item, address, processor, ..run };
@@ -236,7 +236,7 @@
         let i = &mut *i;
         if i.scheduler.in_flight.get(&k).is_some_and(|f| f.attempt == (term, attempt)) {
             i.scheduler.end_attempt(k);
-            i.scheduler.delay_until(k, self.now() + self.ratio(200.0));
+            i.scheduler.delay_until(k, self.now() + self.quiet_fraction_ms(200.0));
             self.wake.notify_one();
         }
     }
--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -157,7 +157,7 @@
             if owned == 0 {
                 break;
             }
-            tokio::time::sleep(Duration::from_millis(self.ratio(200.0))).await;
+            tokio::time::sleep(Duration::from_millis(self.quiet_fraction_ms(200.0))).await;
         }
         // Copies of followed partitions stay until they are replaced, if there is a node to take
         // them.
@@ -167,7 +167,7 @@
             i.replicas.keys().filter(|p| self.copy_due(&known, **p)).count()
         };
         while due() > 0 && begun.elapsed() < limit {
-            tokio::time::sleep(Duration::from_millis(self.ratio(200.0))).await;
+            tokio::time::sleep(Duration::from_millis(self.quiet_fraction_ms(200.0))).await;
         }
         let left = due();
         if left > 0 {
@@ -193,7 +193,7 @@
             let _ = a.await;
         }
         // Leaves time for the last messages to other nodes to be sent.
-        tokio::time::sleep(Duration::from_millis(self.ratio(40.0))).await;
+        tokio::time::sleep(Duration::from_millis(self.quiet_fraction_ms(40.0))).await;
         telemetry::change!("left after {} ms", begun.elapsed().as_millis());
     }
 }
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -116,7 +116,7 @@
         if leader.is_empty() {
             return;
         }
-        let wait = Duration::from_millis(self.ratio(4.0));
+        let wait = Duration::from_millis(self.quiet_fraction_ms(4.0));
         if let Ok(Body::OrderAck(ack)) = self.rpc_clients.to(&leader).call(Body::Order(order.clone()), wait).await {
             if !ack.leader.is_empty() {
                 self.session.take(&ViewUpdate { leader: ack.leader.clone(), ..ViewUpdate::default() });
--- a/crates/store/src/service/lease.rs
+++ b/crates/store/src/service/lease.rs
@@ -73,7 +73,7 @@
                         carried.time(asked).is_some()
                     };
                     let granted_first = *granted_first.get_or_insert(asked);
-                    if !timed && asked < granted_first + self.ratio(8.0) {
+                    if !timed && asked < granted_first + self.quiet_fraction_ms(8.0) {
                         // The cluster time is known soon. Acting as owner without it would leave
                         // the time since a partition's last record uncounted.
                         tokio::time::sleep(period / 6).await;
@@ -108,10 +108,10 @@
     /// The state of this machine's disk, as reported in `Lease::lag`: 0 if it keeps up, 1 if the
     /// last writes were all slow, 2 if a write is not answered.
     pub(super) fn lag(&self) -> u32 {
-        if self.wal.busy_for() > Duration::from_millis(self.ratio(16.0)) {
+        if self.wal.busy_for() > Duration::from_millis(self.quiet_fraction_ms(16.0)) {
             2
         } else {
-            u32::from(self.wal.is_slow(Duration::from_millis(self.ratio(60.0))))
+            u32::from(self.wal.is_slow(Duration::from_millis(self.quiet_fraction_ms(60.0))))
         }
     }
 
--- a/crates/store/src/service/membership.rs
+++ b/crates/store/src/service/membership.rs
@@ -9,7 +9,7 @@
     /// the whole cluster, replicas, delivery nodes and processors are reachable with it long
     /// before the new leader can send the next one.
     pub(super) async fn store_membership(self: Arc<Self>) {
-        let pause = Duration::from_millis(self.ratio(8.0));
+        let pause = Duration::from_millis(self.quiet_fraction_ms(8.0));
         let mut views = self.session.subscribe();
         let mut stored = 0;
         loop {
--- a/crates/store/src/service/quota.rs
+++ b/crates/store/src/service/quota.rs
@@ -5,13 +5,13 @@
 use balance::{PartitionSpending, QuotaAnswer, QuotaReport, QuotaStock, QuotaTake, QuotaTerms};
 
 /// `quietMs` divided by this is the longest time between two checks for a request.
-const PERIOD_PART: f64 = 40.0;
+const REQUEST_PERIOD_DIVISOR: f64 = 40.0;
 /// `quietMs` divided by this is the longest time that a message waits for a token.
-const PATIENCE_PART: f64 = 50.0;
+const TOKEN_WAIT_DIVISOR: f64 = 50.0;
 /// `quietMs` divided by this is the shortest time between two requests.
-const PAUSE_PART: f64 = 1200.0;
+const REQUEST_GAP_DIVISOR: f64 = 1200.0;
 /// The retry delay for a client that was refused because the leader did not answer.
-const RETRY_MS: u64 = 1000;
+const UNANSWERED_RETRY_MS: u64 = 1000;
 
 /// An accept that waits for a token.
 struct WaitingAccept {
@@ -82,11 +82,11 @@
         match take {
             QuotaTake::Taken => Some((accept, responder)),
             QuotaTake::Ask => {
-                let until_ms = waited_until_ms.unwrap_or(now + self.ratio(PATIENCE_PART));
+                let until_ms = waited_until_ms.unwrap_or(now + self.quiet_fraction_ms(TOKEN_WAIT_DIVISOR));
                 if now >= until_ms {
                     quota.stock.give_up(tenant);
                     telemetry::count("quota_unanswered");
-                    refuse(responder, RETRY_MS);
+                    refuse(responder, UNANSWERED_RETRY_MS);
                     return None;
                 }
                 quota.waiting.push(WaitingAccept { accept, responder, until_ms });
@@ -104,8 +104,8 @@
     /// Exchanges reports and token grants with the leader while there is something to report or
     /// to ask for.
     pub(super) async fn keep_quota_leases(self: Arc<Self>) {
-        let period = Duration::from_millis(self.ratio(PERIOD_PART).max(1));
-        let pause = Duration::from_millis(self.ratio(PAUSE_PART).max(1));
+        let period = Duration::from_millis(self.quiet_fraction_ms(REQUEST_PERIOD_DIVISOR).max(1));
+        let pause = Duration::from_millis(self.quiet_fraction_ms(REQUEST_GAP_DIVISOR).max(1));
         loop {
             let _ = tokio::time::timeout(period, self.quota_wanted.notified()).await;
             let leader = self.session.with_known(|known| known.leader.clone());
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -17,7 +17,7 @@
     /// After a take-over, asks the delivery nodes for the attempts that they hold, adopts those and
     /// schedules the other pending messages. From the query on the nodes refuse older terms.
     pub(super) async fn ask_fronts(self: Arc<Self>, partition: u32, term: u64, seized: bool) {
-        let wait = Duration::from_millis(self.ratio(16.0));
+        let wait = Duration::from_millis(self.quiet_fraction_ms(16.0));
         let taken_at = self.now();
         let Some(fronts) = self.known_delivery_nodes().await else { return };
         let mut asked = Vec::new();
@@ -63,7 +63,7 @@
                     None => return,
                 }
             }
-            tokio::time::sleep(Duration::from_millis(self.ratio(250.0))).await;
+            tokio::time::sleep(Duration::from_millis(self.quiet_fraction_ms(250.0))).await;
         }
         let mut i = self.shared.lock().unwrap();
         let i = &mut *i;
@@ -81,7 +81,7 @@
                 && w.state == MessageState::Pending
                 && let Some(c) = known.configuration.route_named(&w.item.route)
             {
-                let until = now + c.timeout_ms as u64 * 21 / 20 + self.ratio(8.0);
+                let until = now + c.timeout_ms as u64 * 21 / 20 + self.quiet_fraction_ms(8.0);
                 let service = agent::service_of(c, &w.item.id);
                 i.scheduler.adopt_attempt((partition, pos), c, service, &w.processor, &front, until);
                 i.scheduler.set_attempt_number((partition, pos), of_term, attempt);
@@ -90,7 +90,7 @@
         let pending: Vec<u64> = m.state.pending.iter().copied().collect();
         let longest = |w: &partition::Message| {
             let timeout = known.configuration.route_named(&w.item.route).map_or(0, |c| c.timeout_ms as u64);
-            timeout + self.ratio(16.0)
+            timeout + self.quiet_fraction_ms(16.0)
         };
         let at_work = pending.iter().map(|pos| &m.state.pieces[pos]).filter(|w| w.sent_ms + longest(w) > taken);
         let unresponsive_nodes =
