--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -291,7 +291,7 @@
                 for c in &assignments.partitions {
                     let mine = c.replicas.contains(&p.settings.node) || c.in_sync.contains(&p.settings.node);
                     if mine {
-                        p.known_partition(&mut i, c.id);
+                        p.ensure_replica(&mut i, c.id);
                     }
                     p.step(&mut i, c.id, |m, now, out| m.assignments(c, now, out));
                 }
@@ -320,13 +320,13 @@
         }
     });
     let _ = stop.wait_for(|s| *s).await;
-    post.clone().leave().await;
+    post.clone().shut_down().await;
     telemetry::report(&settings.node, &rpc::sent());
     Ok(())
 }
 
 /// The kind of failure that the report of an attempt describes.
-fn gap(outcome: Outcome, status: u32) -> DeliveryFailure {
+fn delivery_failure(outcome: Outcome, status: u32) -> DeliveryFailure {
     match (outcome, status) {
         (Outcome::NotRun, 0) => DeliveryFailure::NotSent,
         (Outcome::NotRun, 409 | 429) => DeliveryFailure::Busy,
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -191,7 +191,7 @@
         // A delivery node waits 5 % longer than the route's time-out.
         i.scheduler.start_attempt(k, &choice, route, now + timeout * 21 / 20 + self.quiet_fraction_ms(8.0));
         i.scheduler.set_attempt_number(k, run.term, attempt);
-        self.carry_out(i, k.0, out);
+        self.execute_effects(i, k.0, out);
         telemetry::count("dispatched");
         let post = self.clone();
         tokio::spawn(async move { post.run(run, choice).await });
--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -39,7 +39,7 @@
                         m.append(&Record { at_ms: time, entry: Some(e) }, now, &mut out);
                     }
                 }
-                self.carry_out(i, p, out);
+                self.execute_effects(i, p, out);
             }
             self.step(i, p, |m, now, out| {
                 m.tick(now, time, out);
@@ -112,7 +112,7 @@
     /// Whether another node is still to take over this node's copy of a partition: its
     /// replacement is not in sync yet, or there is a store node that the leader is about to
     /// assign it to.
-    pub(super) fn copy_due(&self, known: &agent::ClusterView, partition: u32) -> bool {
+    pub(super) fn is_copy_due(&self, known: &agent::ClusterView, partition: u32) -> bool {
         let me = &self.settings.node;
         let all = &known.assignments.partitions;
         let Some(p) = all.iter().find(|p| p.id == partition) else { return false };
@@ -126,7 +126,7 @@
 
     /// Graceful shutdown on SIGTERM: hands over all owned partitions by planned moves, then leaves
     /// the in-sync sets.
-    pub(super) async fn leave(self: Arc<Self>) {
+    pub(super) async fn shut_down(self: Arc<Self>) {
         let limit = Duration::from_millis((self.settings.constraints.grace_s * 800.0) as u64);
         let begun = Instant::now();
         self.session.set_leaving();
@@ -143,7 +143,7 @@
                         continue;
                     }
                     let to = m.candidates().into_iter().find(|c| known.node(c, "store").is_some_and(|n| !n.leaving));
-                    if to.is_some() || m.is_moving() || self.copy_due(&known, p) {
+                    if to.is_some() || m.is_moving() || self.is_copy_due(&known, p) {
                         owned += 1;
                     }
                     if let (Some(to), false) = (to, m.is_moving())
@@ -164,7 +164,7 @@
         let due = || {
             let known = self.session.known();
             let i = self.shared.lock().unwrap();
-            i.replicas.keys().filter(|p| self.copy_due(&known, **p)).count()
+            i.replicas.keys().filter(|p| self.is_copy_due(&known, **p)).count()
         };
         while due() > 0 && begun.elapsed() < limit {
             tokio::time::sleep(Duration::from_millis(self.quiet_fraction_ms(200.0))).await;
@@ -187,7 +187,7 @@
                 kind: OrderKind::Drop as i32,
                 ..Order::default()
             };
-            asks.push(tokio::spawn(self.clone().order(p, o)));
+            asks.push(tokio::spawn(self.clone().send_order(p, o)));
         }
         for a in asks {
             let _ = a.await;
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -16,7 +16,7 @@
         if let Some(m) = i.replicas.get_mut(&partition) {
             f(m, now, &mut out);
         }
-        self.carry_out(i, partition, out);
+        self.execute_effects(i, partition, out);
     }
 
     /// Appends a record to a partition's log. It is sent to the replicas when the effects are
@@ -35,7 +35,7 @@
         position
     }
 
-    pub(super) fn carry_out(self: &Arc<Self>, i: &mut StoreState, partition: u32, effects: Vec<Effect>) {
+    pub(super) fn execute_effects(self: &Arc<Self>, i: &mut StoreState, partition: u32, effects: Vec<Effect>) {
         for e in effects {
             match e {
                 Effect::Persist { del, put, meta, snapshot, term, end } => {
@@ -61,12 +61,12 @@
                         self.rpc_clients.to(&a).send(body);
                     }
                 }
-                Effect::Folded(changes) => self.folded(i, partition, changes),
+                Effect::Folded(changes) => self.handle_changes(i, partition, changes),
                 Effect::TookOver { seized } => {
                     telemetry::count(if seized { "partitions_seized" } else { "partitions_taken" });
                     // Also when this node was the owner at an earlier term: what was uncommitted
                     // then may be missing from the log now.
-                    self.forget_partition(i, partition, "");
+                    self.drop_partition_state(i, partition, "");
                     let m = &i.replicas[&partition];
                     let term = m.term;
                     i.recovering.insert(partition, m.end());
@@ -74,15 +74,15 @@
                         "owner of partition {partition} at term {term}{}",
                         if seized { ", seized" } else { "" }
                     );
-                    tokio::spawn(self.clone().ask_fronts(partition, term, seized));
+                    tokio::spawn(self.clone().recover_attempts(partition, term, seized));
                 }
                 Effect::StoodDown(owner) => {
                     telemetry::change!("partition {partition} is owned by {owner:?} now");
-                    self.forget_partition(i, partition, &owner);
+                    self.drop_partition_state(i, partition, &owner);
                 }
                 Effect::Ask(order) => {
                     let post = self.clone();
-                    tokio::spawn(async move { post.order(partition, order).await });
+                    tokio::spawn(async move { post.send_order(partition, order).await });
                 }
                 Effect::Mismatch(at) => {
                     telemetry::error!("ALARM partition {partition}: the shadow state differs from the owner's at {at}");
@@ -93,7 +93,7 @@
 
     /// Drops the in-memory state of a partition that this node owned until now, and answers
     /// waiting requests that their outcome is unclear.
-    fn forget_partition(&self, i: &mut StoreState, partition: u32, owner: &str) {
+    fn drop_partition_state(&self, i: &mut StoreState, partition: u32, owner: &str) {
         i.scheduler.remove_partition(partition);
         i.recovering.remove(&partition);
         i.uncommitted_reports.retain(|key, _| key.0 != partition);
@@ -111,7 +111,7 @@
     }
 
     /// Sends an order to the leader and passes the answer to the partition's state machine.
-    pub(super) async fn order(self: Arc<Self>, partition: u32, order: Order) {
+    pub(super) async fn send_order(self: Arc<Self>, partition: u32, order: Order) {
         let leader = self.session.with_known(|k| k.leader.clone());
         if leader.is_empty() {
             return;
@@ -128,7 +128,7 @@
     }
 
     /// Handles newly applied records: answers waiting requests and schedules messages.
-    pub(super) fn folded(self: &Arc<Self>, i: &mut StoreState, partition: u32, changes: Vec<Change>) {
+    pub(super) fn handle_changes(self: &Arc<Self>, i: &mut StoreState, partition: u32, changes: Vec<Change>) {
         let now = self.now();
         for c in changes {
             match c {
@@ -200,7 +200,7 @@
     }
 
     /// Creates the replica of a partition if this node has none yet.
-    pub(super) fn known_partition(&self, i: &mut StoreState, id: u32) {
+    pub(super) fn ensure_replica(&self, i: &mut StoreState, id: u32) {
         let timing = self.timing();
         let incarnation = self.session.me().incarnation;
         i.replicas.entry(id).or_insert_with(|| {
--- a/crates/store/src/service/placements.rs
+++ b/crates/store/src/service/placements.rs
@@ -48,7 +48,7 @@
             Some(position) => i.waiters.entry((partition, position)).or_default().push(Waiter::Accept(responder)),
             None => responder.send(accepted(AcceptOutcome::Elsewhere, 0, "")),
         }
-        self.carry_out(i, partition, effects);
+        self.execute_effects(i, partition, effects);
     }
 }
 
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -16,7 +16,7 @@
 
     /// After a take-over, asks the delivery nodes for the attempts that they hold, adopts those and
     /// schedules the other pending messages. From the query on the nodes refuse older terms.
-    pub(super) async fn ask_fronts(self: Arc<Self>, partition: u32, term: u64, seized: bool) {
+    pub(super) async fn recover_attempts(self: Arc<Self>, partition: u32, term: u64, seized: bool) {
         let wait = Duration::from_millis(self.quiet_fraction_ms(16.0));
         let taken_at = self.now();
         let Some(fronts) = self.known_delivery_nodes().await else { return };
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -15,12 +15,12 @@
                 responder.send(Body::Found(found));
             }
             Body::Entries(e) => {
-                self.known_partition(i, e.partition);
+                self.ensure_replica(i, e.partition);
                 self.step(i, e.partition, |m, now, out| m.entries(e, now, out));
             }
             Body::EntriesAck(a) => self.step(i, a.partition, |m, now, out| m.acked(a, now, out)),
             Body::Chunk(c) => {
-                self.known_partition(i, c.partition);
+                self.ensure_replica(i, c.partition);
                 self.step(i, c.partition, |m, now, out| m.chunk(c, now, out));
             }
             Body::Status(_) => responder.send(Body::StatusAck(StatusAck { json: self.status(i) })),
@@ -97,7 +97,7 @@
             }
             None => responder.send(accepted(AcceptOutcome::Elsewhere, 0, "")),
         }
-        self.carry_out(i, p, out);
+        self.execute_effects(i, p, out);
     }
 
     /// `None` if this node owns the partition and can append to it now. Otherwise the owner to
@@ -206,12 +206,12 @@
                         i.scheduler.delay_until(k, now + backoff);
                     }
                 }
-                self.carry_out(i, k.0, out);
+                self.execute_effects(i, k.0, out);
             }
             _ if outdated => responder.send(Body::ReportAck(ReportAck { kept: true })),
             _ => {
                 responder.send(Body::ReportAck(ReportAck { kept: true }));
-                match gap(outcome, r.status).again(self.class(i, k)) {
+                match delivery_failure(outcome, r.status).again(self.retry_safety(i, k)) {
                     RetryOwner::Owner => self.schedule(i, k, now),
                     _ => {
                         let backoff = i.scheduler.next_backoff(k);
@@ -224,7 +224,7 @@
     }
 
     /// Whether and how a message may be sent again.
-    pub(super) fn class(&self, i: &StoreState, k: Key) -> RetrySafety {
+    pub(super) fn retry_safety(&self, i: &StoreState, k: Key) -> RetrySafety {
         let Some(w) = i.replicas.get(&k.0).and_then(|m| m.state.pieces.get(&k.1)) else { return RetrySafety::Message };
         let dedupes = self.session.with_known(|s| {
             let route = s.configuration.route_named(&w.item.route);
