--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -10,7 +10,7 @@
         let i = &mut *guard;
         let compact = (self.settings.limits.disk_mb as usize) << 20;
         let parts = i.replicas.len().max(1);
-        let lag = self.lag();
+        let lag = self.disk_lag();
         for p in i.replicas.keys().copied().collect::<Vec<_>>() {
             let owns = i.replicas[&p].role == ReplicaRole::Owner;
             if owns && !self.is_timed(i, p) {
--- a/crates/store/src/service/lease.rs
+++ b/crates/store/src/service/lease.rs
@@ -27,7 +27,7 @@
         let mut granted_first = None;
         loop {
             let asked = self.now();
-            let lag = self.lag();
+            let lag = self.disk_lag();
             let (samples, claims) = {
                 let mut i = self.shared.lock().unwrap();
                 if lag == 2 {
@@ -80,10 +80,10 @@
                         continue;
                     }
                     self.extend_lease(asked + a.ttl_ms as u64);
-                    self.sleep_while(lag, period).await;
+                    self.sleep_while_disk_lag(lag, period).await;
                 }
                 Ok(Body::LeaseAck(a)) if a.newer_incarnation > 0 => {
-                    self.relive(a.newer_incarnation);
+                    self.begin_incarnation(a.newer_incarnation);
                     tokio::time::sleep(period / 60).await;
                 }
                 Ok(Body::LeaseAck(a)) => {
@@ -107,7 +107,7 @@
 
     /// The state of this machine's disk, as reported in `Lease::lag`: 0 if it keeps up, 1 if the
     /// last writes were all slow, 2 if a write is not answered.
-    pub(super) fn lag(&self) -> u32 {
+    pub(super) fn disk_lag(&self) -> u32 {
         if self.wal.busy_for() > Duration::from_millis(self.quiet_fraction_ms(16.0)) {
             2
         } else {
@@ -116,22 +116,22 @@
     }
 
     /// Sleeps for `period`, or until the disk state differs from the reported one.
-    pub(super) async fn sleep_while(&self, lag: u32, period: Duration) {
+    pub(super) async fn sleep_while_disk_lag(&self, lag: u32, period: Duration) {
         let end = Instant::now() + period;
-        while Instant::now() < end && self.lag() == lag {
+        while Instant::now() < end && self.disk_lag() == lag {
             tokio::time::sleep(period / 4).await;
         }
     }
 
     /// Begins a new incarnation above `newer_incarnation`, which the leader knows and which is
     /// above this process's own, as after a start with a clock that is behind.
-    pub(super) fn relive(self: &Arc<Self>, newer_incarnation: u64) {
+    pub(super) fn begin_incarnation(self: &Arc<Self>, newer_incarnation: u64) {
         let Some(incarnation) = self.session.relive(newer_incarnation) else { return };
         telemetry::count("incarnations_begun_again");
         // An incarnation that is not recorded on this disk ran on another disk.
-        let birth = DiskIdentity { born: incarnation, top: incarnation, empty: false };
+        let identity = DiskIdentity { born: incarnation, top: incarnation, empty: false };
         self.session.reborn(incarnation);
-        self.wal.write(vec![Op::Put(key(b'd', 0, 0), birth.encode_to_vec().into())], || ());
+        self.wal.write(vec![Op::Put(key(b'd', 0, 0), identity.encode_to_vec().into())], || ());
         let mut guard = self.shared.lock().unwrap();
         guard.lease_until = 0;
         for p in guard.replicas.keys().copied().collect::<Vec<_>>() {
@@ -145,7 +145,7 @@
         let (tx, mut rx) = tokio::sync::mpsc::channel(control_nodes.len().max(1));
         for f in control_nodes {
             let (node, claims, clock_ms) = (self.session.me(), claims.to_vec(), telemetry::wall_ms());
-            let ask = Lease { node, claims, lag: self.lag(), clock_ms, ..Lease::default() };
+            let ask = Lease { node, claims, lag: self.disk_lag(), clock_ms, ..Lease::default() };
             let (end, name, tx) = (self.rpc_clients.to(f), f.clone(), tx.clone());
             tokio::spawn(async move {
                 if let Ok(Body::LeaseAck(a)) = end.call(Body::Lease(ask), wait).await {
