--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -40,7 +40,7 @@
 
     /// Reassigns queued messages to queues after a configuration change: a route may have got
     /// other services, or a service may have been removed.
-    fn choose_queues(&self, i: &mut StoreState, configuration: &config::ConfigurationIndex, now: u64) {
+    fn reassign_queues(&self, i: &mut StoreState, configuration: &config::ConfigurationIndex, now: u64) {
         if i.queued_by_revision == configuration.revision {
             return;
         }
@@ -97,7 +97,7 @@
         while let Some(k) = i.scheduler.pop_due(now) {
             self.schedule(i, k, now);
         }
-        self.choose_queues(i, &known.configuration, now);
+        self.reassign_queues(i, &known.configuration, now);
         for k in i.scheduler.overdue(now) {
             // The delivery node did not report in time: the outcome is unknown, and no failed
             // attempt is counted.
@@ -194,13 +194,13 @@
         self.execute_effects(i, k.0, out);
         telemetry::count("dispatched");
         let post = self.clone();
-        tokio::spawn(async move { post.run(run, choice).await });
+        tokio::spawn(async move { post.send_attempt(run, choice).await });
         true
     }
 
     /// Sends one attempt to the delivery node. If it is certain that the node does not have it,
     /// the message is scheduled again.
-    pub(super) async fn run(self: Arc<Self>, run: Run, choice: Target) {
+    pub(super) async fn send_attempt(self: Arc<Self>, run: Run, choice: Target) {
         let k = (run.partition, run.position);
         let (term, attempt) = (run.term, run.attempt);
         let wait = Duration::from_millis(self.quiet_fraction_ms(8.0));
--- a/crates/store/src/service/placements.rs
+++ b/crates/store/src/service/placements.rs
@@ -25,7 +25,7 @@
             return;
         }
         let at_ms = self.owner_time(i, partition);
-        if let Some(answer) = known_place(&i.replicas[&partition], &request, subject, at_ms) {
+        if let Some(answer) = answer_without_record(&i.replicas[&partition], &request, subject, at_ms) {
             responder.send(answer);
             return;
         }
@@ -37,11 +37,11 @@
         }
         let Place { subject, generation, hold_ms, .. } = request;
         let place = PlaceRecord { partition: wanted, subject, generation, hold_ms };
-        self.write_placement(i, partition, Record { at_ms, entry: Some(Entry::Place(place)) }, responder);
+        self.append_placement(i, partition, Record { at_ms, entry: Some(Entry::Place(place)) }, responder);
     }
 
     /// Appends a placement. The request is answered once the record is applied.
-    fn write_placement(self: &Arc<Self>, i: &mut StoreState, partition: u32, record: Record, responder: Responder) {
+    fn append_placement(self: &Arc<Self>, i: &mut StoreState, partition: u32, record: Record, responder: Responder) {
         telemetry::count("placements_written");
         let mut effects = Vec::new();
         match self.append(i, partition, &record, &mut effects) {
@@ -53,12 +53,17 @@
 }
 
 /// The answer if it needs no new record; `None` if a placement has to be appended.
-fn known_place(replica: &PartitionReplica, request: &Place, subject: &PlacementSubject, at_ms: u64) -> Option<Body> {
+fn answer_without_record(
+    replica: &PartitionReplica,
+    request: &Place,
+    subject: &PlacementSubject,
+    at_ms: u64,
+) -> Option<Body> {
     let state = &replica.state;
-    let is_question = request.wanted.is_none();
+    let is_query = request.wanted.is_none();
     match state.whereabouts(subject, request.generation, at_ms) {
         Some(Whereabouts::Elsewhere(placement)) => {
-            let is_settled = is_question || !state.is_placement_due(&placement, subject, request.hold_ms, at_ms);
+            let is_settled = is_query || !state.is_placement_due(&placement, subject, request.hold_ms, at_ms);
             is_settled.then(|| placed_elsewhere(&placement))
         }
         Some(Whereabouts::KeptHere(position)) => {
@@ -67,7 +72,7 @@
         }
         Some(Whereabouts::UnderWayHere) => Some(accepted(AcceptOutcome::StaysHere, 0, "")),
         // Records of a former owner may not be applied yet.
-        None if is_question && !replica.caught_up() => Some(accepted(AcceptOutcome::Elsewhere, 0, "")),
-        None => is_question.then(|| accepted(AcceptOutcome::NotKnown, 0, "")),
+        None if is_query && !replica.caught_up() => Some(accepted(AcceptOutcome::Elsewhere, 0, "")),
+        None => is_query.then(|| accepted(AcceptOutcome::NotKnown, 0, "")),
     }
 }
--- a/crates/store/src/service/quota.rs
+++ b/crates/store/src/service/quota.rs
@@ -30,9 +30,9 @@
     asked: (String, u64),
     /// Whether the leader is owed a request: since its last answer a partition was counted or a
     /// request was sent.
-    is_owed: bool,
+    is_request_due: bool,
     /// By partition, the term at which its recently accepted messages were counted.
-    counted: HashMap<u32, u64>,
+    counted_terms: HashMap<u32, u64>,
 }
 
 /// The initial quota state; `None` if the settings disable quotas.
@@ -49,8 +49,8 @@
         sequence: 0,
         introduces: true,
         asked: (String::new(), 0),
-        is_owed: true,
-        counted: HashMap::new(),
+        is_request_due: true,
+        counted_terms: HashMap::new(),
     })
 }
 
@@ -68,10 +68,10 @@
         if tenant.is_empty() || !self.session.with_known(|known| known.configuration.has_limit(tenant)) {
             return Some((accept, responder));
         }
-        self.count_taken_over(i);
+        self.count_recent_accepts(i);
         let Some(quota) = &mut i.quota else { return Some((accept, responder)) };
         let now = self.now();
-        let take = match quota.counted.contains_key(&accept.partition) {
+        let take = match quota.counted_terms.contains_key(&accept.partition) {
             true => quota.stock.take(tenant, accept.partition, waited_until_ms.is_none(), now),
             // The messages accepted before the take-over are not counted yet.
             false => {
@@ -86,7 +86,7 @@
                 if now >= until_ms {
                     quota.stock.give_up(tenant);
                     telemetry::count("quota_unanswered");
-                    refuse(responder, UNANSWERED_RETRY_MS);
+                    refuse_over_quota(responder, UNANSWERED_RETRY_MS);
                     return None;
                 }
                 quota.waiting.push(WaitingAccept { accept, responder, until_ms });
@@ -95,7 +95,7 @@
             }
             QuotaTake::Refused { retry_ms } => {
                 telemetry::count("quota_refused");
-                refuse(responder, retry_ms);
+                refuse_over_quota(responder, retry_ms);
                 None
             }
         }
@@ -127,19 +127,20 @@
         let now = self.now();
         let mut guard = self.shared.lock().unwrap();
         let i = &mut *guard;
-        self.count_taken_over(i);
+        self.count_recent_accepts(i);
         let quota = i.quota.as_mut()?;
         let (asked, asked_ms) = &quota.asked;
         let is_due = asked != leader || now >= asked_ms + self.settings.quota_lease_ms() / 2;
-        if !is_due && !quota.is_owed && !quota.stock.has_news() {
+        if !is_due && !quota.is_request_due && !quota.stock.has_news() {
             return None;
         }
         quota.introduces |= asked != leader;
         quota.asked = (leader.to_owned(), now);
-        quota.is_owed = true;
+        quota.is_request_due = true;
         quota.sequence += 1;
         let reports = quota.stock.reports(quota.introduces, now);
-        let counted = quota.counted.iter().map(|(partition, term)| Holding { partition: *partition, term: *term });
+        let counted =
+            quota.counted_terms.iter().map(|(partition, term)| Holding { partition: *partition, term: *term });
         let request = QuotaRequest {
             node: self.session.me(),
             sequence: quota.sequence,
@@ -158,7 +159,7 @@
         let Some(quota) = i.quota.as_mut() else { return };
         match answer {
             Ok(Body::QuotaResponse(response)) if response.taken && self.session.me().incarnation == incarnation => {
-                (quota.introduces, quota.is_owed) = (false, false);
+                (quota.introduces, quota.is_request_due) = (false, false);
                 let answer = |grant: &TenantGrant| QuotaAnswer {
                     granted: grant.granted,
                     keep: grant.keep,
@@ -187,22 +188,22 @@
     }
 
     /// Counts the messages of the last window in partitions that were taken over.
-    fn count_taken_over(&self, i: &mut StoreState) {
+    fn count_recent_accepts(&self, i: &mut StoreState) {
         let window_ms = (self.settings.constraints.quota_window_s * 1000.0) as u64;
         let now = self.now();
         let Some(quota) = i.quota.as_mut() else { return };
         let owns = |partition: &u32, term: u64| {
             i.replicas.get(partition).is_some_and(|replica| replica.role == ReplicaRole::Owner && replica.term == term)
         };
-        quota.counted.retain(|partition, term| owns(partition, *term));
+        quota.counted_terms.retain(|partition, term| owns(partition, *term));
         for replica in i.replicas.values() {
             let is_known = replica.role == ReplicaRole::Owner && replica.caught_up();
-            if !is_known || quota.counted.contains_key(&replica.id) {
+            if !is_known || quota.counted_terms.contains_key(&replica.id) {
                 continue;
             }
             let Some(time) = replica.time(now) else { continue };
-            quota.counted.insert(replica.id, replica.term);
-            quota.is_owed = true;
+            quota.counted_terms.insert(replica.id, replica.term);
+            quota.is_request_due = true;
             quota.stock.begin_partition(replica.id, replica.term);
             let is_recent = |message: &&partition::Message| message.at_ms + window_ms > time;
             for message in replica.state.pieces.values().rev().take_while(is_recent) {
@@ -229,7 +230,7 @@
 }
 
 /// Refuses a message for which its tenant has no token left.
-fn refuse(responder: Responder, retry_ms: u64) {
+fn refuse_over_quota(responder: Responder, retry_ms: u64) {
     let outcome = AcceptOutcome::OverQuota as i32;
     let retry_ms = retry_ms.min(u64::from(u32::MAX)) as u32;
     responder.send(Body::Accepted(Accepted { outcome, retry_ms, ..Accepted::default() }));
