--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -45,7 +45,7 @@
     /// position.
     uncommitted_reports: HashMap<Key, (u64, u64)>,
     /// Partitions taken over for which the query of the delivery nodes is not finished, with the
-    /// end of the log at the take-over. Messages after it cannot have been dispatched by a former
+    /// end of the log at the take-over. Messages after it cannot have been dispatched by a previous
     /// owner.
     recovering: HashMap<u32, u64>,
     /// Present if tenants' limits are enforced.
@@ -67,7 +67,7 @@
     rpc_clients: Arc<RpcClients>,
     wal: Wal,
     /// The nodes of the membership that was on disk when this process started.
-    former_nodes: Vec<Node>,
+    previous_nodes: Vec<Node>,
     shared: Mutex<StoreState>,
     wake: Notifier,
     /// Signalled when a message starts to wait for a token of its tenant's limit.
@@ -152,11 +152,11 @@
 ) -> Result<(), String> {
     let quiet = settings.constraints.quiet_ms;
     let silence = Duration::from_millis((quiet / 4.0) as u64);
-    let mut metas: BTreeMap<u32, Meta> = BTreeMap::new();
-    let mut snaps: HashMap<u32, Bytes> = HashMap::new();
+    let mut metadata: BTreeMap<u32, Meta> = BTreeMap::new();
+    let mut snapshots: HashMap<u32, Bytes> = HashMap::new();
     let mut logs: HashMap<u32, Vec<(u64, LogEntry)>> = HashMap::new();
-    let (mut broken, mut birth) = (None, None);
-    let mut former = Membership::default();
+    let (mut decode_error, mut disk_identity) = (None, None);
+    let mut previous = Membership::default();
     let wal = Wal::open(&settings.data_dir, settings.limits.disk_mb, settings.limits.memory_mb, |k, v| {
         if k.len() != 13 {
             return;
@@ -166,42 +166,43 @@
         match k[0] {
             b'm' => match Meta::decode(v) {
                 Ok(m) => {
-                    metas.insert(p, m);
+                    metadata.insert(p, m);
                 }
-                Err(e) => broken = Some(format!("partition {p}: cannot decode the stored metadata: {e}")),
+                Err(e) => decode_error = Some(format!("partition {p}: cannot decode the stored metadata: {e}")),
             },
             b'd' => match DiskIdentity::decode(v) {
-                Ok(b) => birth = Some(b),
-                Err(e) => broken = Some(format!("cannot decode the stored disk identity: {e}")),
+                Ok(b) => disk_identity = Some(b),
+                Err(e) => decode_error = Some(format!("cannot decode the stored disk identity: {e}")),
             },
             b'r' => match Membership::decode(v) {
-                Ok(m) => former = m,
-                Err(e) => broken = Some(format!("cannot decode the stored membership: {e}")),
+                Ok(m) => previous = m,
+                Err(e) => decode_error = Some(format!("cannot decode the stored membership: {e}")),
             },
             b's' => {
-                snaps.insert(p, Bytes::copy_from_slice(v));
+                snapshots.insert(p, Bytes::copy_from_slice(v));
             }
             b'l' => match LogEntry::decode(Bytes::copy_from_slice(v)) {
                 Ok(e) => logs.entry(p).or_default().push((n, e)),
-                Err(e) => broken = Some(format!("partition {p}: cannot decode log entry {n}: {e}")),
+                Err(e) => decode_error = Some(format!("partition {p}: cannot decode log entry {n}: {e}")),
             },
             _ => {}
         }
     })?;
-    if let Some(b) = broken {
-        return Err(b);
+    if let Some(e) = decode_error {
+        return Err(e);
     }
-    let mut birth =
-        birth.unwrap_or(DiskIdentity { empty: metas.is_empty() && !settings.initial_start, ..DiskIdentity::default() });
-    let incarnation = birth.live(rpc::new_incarnation());
+    let mut disk_identity = disk_identity
+        .unwrap_or(DiskIdentity { empty: metadata.is_empty() && !settings.initial_start, ..DiskIdentity::default() });
+    let incarnation = disk_identity.live(rpc::new_incarnation());
     // The first write: an emptied disk must be recorded as such before any other data on it makes
     // it look like an intact one.
-    wal.write(vec![Op::Put(key(b'd', 0, 0), birth.encode_to_vec().into())], || ());
+    wal.write(vec![Op::Put(key(b'd', 0, 0), disk_identity.encode_to_vec().into())], || ());
     let mut replicas = BTreeMap::new();
-    for (p, meta) in metas {
+    for (p, meta) in metadata {
         let mut entries = logs.remove(&p).unwrap_or_default();
         entries.sort_by_key(|e| e.0);
-        let mut m = PartitionReplica::reload(p, &settings.node, timing(&settings), &meta, snaps.remove(&p), entries)?;
+        let mut m =
+            PartitionReplica::reload(p, &settings.node, timing(&settings), &meta, snapshots.remove(&p), entries)?;
         m.incarnation = incarnation;
         replicas.insert(p, m);
     }
@@ -213,22 +214,22 @@
         inner: settings.inner_addr(Role::Store),
         incarnation,
         leaving: false,
-        born: birth.born,
+        born: disk_identity.born,
         changed: 0,
     };
     let rpc_clients = RpcClients::new(silence);
     let session = Session::new(settings.clone(), node, rpc_clients.clone());
-    let former_nodes = former.nodes.clone();
-    session.begin_with(former);
+    let previous_nodes = previous.nodes.clone();
+    session.begin_with(previous);
     let (synced, mut synced_rx) = mpsc::unbounded_channel();
-    let scheduler_pace = SchedulerTiming {
+    let scheduler_timing = SchedulerTiming {
         load_report_ttl_ms: (quiet / 16.0) as u64,
         initial_backoff_ms: (quiet / 64.0) as u64,
         max_backoff_ms: (quiet / 4.0) as u64,
     };
-    let mut scheduler = DeliveryScheduler::new(&settings.node, &settings.zone, &settings.region, scheduler_pace);
+    let mut scheduler = DeliveryScheduler::new(&settings.node, &settings.zone, &settings.region, scheduler_timing);
     scheduler.set_regions(&settings.zones);
-    let post = Arc::new(StoreService {
+    let service = Arc::new(StoreService {
         shared: Mutex::new(StoreState {
             replicas,
             scheduler,
@@ -253,33 +254,33 @@
         session: session.clone(),
         rpc_clients,
         wal,
-        former_nodes,
+        previous_nodes,
         settings: settings.clone(),
     });
     let addr = settings.inner_addr(Role::Store);
     let listener = tokio::net::TcpListener::bind(&addr).await.map_err(|e| format!("{addr}: {e}"))?;
-    let p = post.clone();
-    tokio::spawn(rpc::serve(listener, silence, move |b, responder| p.handle(b, responder)));
+    let worker = service.clone();
+    tokio::spawn(rpc::serve(listener, silence, move |b, responder| worker.handle(b, responder)));
     tokio::spawn(session.clone().keep());
     tokio::spawn(session.clone().heed(settings_updates));
-    tokio::spawn(post.clone().keep_lease());
-    tokio::spawn(post.clone().keep_cold_leases());
+    tokio::spawn(service.clone().keep_lease());
+    tokio::spawn(service.clone().keep_cold_leases());
     if settings.constraints.quota_window_s > 0.0 {
-        tokio::spawn(post.clone().keep_quota_leases());
+        tokio::spawn(service.clone().keep_quota_leases());
     }
-    tokio::spawn(post.clone().store_membership());
-    let p = post.clone();
+    tokio::spawn(service.clone().store_membership());
+    let worker = service.clone();
     tokio::spawn(async move {
         while let Some((partition, term, end)) = synced_rx.recv().await {
-            let mut i = p.shared.lock().unwrap();
-            p.step(&mut i, partition, |m, now, out| m.synced(term, end, now, out));
+            let mut i = worker.shared.lock().unwrap();
+            worker.step(&mut i, partition, |m, now, out| m.synced(term, end, now, out));
             // One sync may have made several writes durable.
             while let Ok((partition, term, end)) = synced_rx.try_recv() {
-                p.step(&mut i, partition, |m, now, out| m.synced(term, end, now, out));
+                worker.step(&mut i, partition, |m, now, out| m.synced(term, end, now, out));
             }
         }
     });
-    let p = post.clone();
+    let worker = service.clone();
     let mut assignments_rx = session.subscribe();
     tokio::spawn(async move {
         let mut seen = 0;
@@ -287,40 +288,40 @@
             let assignments = assignments_rx.borrow_and_update().assignments.clone();
             if assignments.version > seen {
                 seen = assignments.version;
-                let mut i = p.shared.lock().unwrap();
+                let mut i = worker.shared.lock().unwrap();
                 for c in &assignments.partitions {
-                    let mine = c.replicas.contains(&p.settings.node) || c.in_sync.contains(&p.settings.node);
+                    let mine = c.replicas.contains(&worker.settings.node) || c.in_sync.contains(&worker.settings.node);
                     if mine {
-                        p.ensure_replica(&mut i, c.id);
+                        worker.ensure_replica(&mut i, c.id);
                     }
-                    p.step(&mut i, c.id, |m, now, out| m.assignments(c, now, out));
+                    worker.step(&mut i, c.id, |m, now, out| m.assignments(c, now, out));
                 }
             }
-            p.wake.notify_one();
+            worker.wake.notify_one();
         }
     });
-    let p = post.clone();
+    let worker = service.clone();
     tokio::spawn(async move {
         loop {
-            let wake = p.pump();
-            let pause = wake.saturating_sub(p.now()).max(1);
+            let wake = worker.pump();
+            let pause = wake.saturating_sub(worker.now()).max(1);
             tokio::select! {
-                _ = p.wake.notified() => {}
+                _ = worker.wake.notified() => {}
                 _ = tokio::time::sleep(Duration::from_millis(pause)) => {}
             }
         }
     });
-    let p = post.clone();
+    let worker = service.clone();
     tokio::spawn(async move {
         let mut rounds = 0;
         loop {
-            tokio::time::sleep(Duration::from_millis(p.quiet_fraction_ms(64.0))).await;
+            tokio::time::sleep(Duration::from_millis(worker.quiet_fraction_ms(64.0))).await;
             rounds += 1;
-            p.tick(rounds);
+            worker.tick(rounds);
         }
     });
     let _ = stop.wait_for(|s| *s).await;
-    post.clone().shut_down().await;
+    service.clone().shut_down().await;
     telemetry::report(&settings.node, &rpc::sent());
     Ok(())
 }
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -9,7 +9,7 @@
     /// query.
     async fn known_delivery_nodes(&self) -> Option<Vec<Node>> {
         let mut views = self.session.subscribe();
-        let to_query = |view: &ClusterView| delivery_nodes_to_query(&view.membership, &self.former_nodes);
+        let to_query = |view: &ClusterView| delivery_nodes_to_query(&view.membership, &self.previous_nodes);
         let view = views.wait_for(|view| to_query(view).is_some()).await.ok()?;
         to_query(&view)
     }
