--- a/crates/store/src/service/audit.rs
+++ b/crates/store/src/service/audit.rs
@@ -22,41 +22,42 @@
 impl StoreService {
     /// Audits the schedule every `AUDIT_TICKS` ticks and schedules the messages that it finds
     /// unscheduled.
-    pub(super) fn audit(&self, i: &mut StoreState, rounds: u64) {
-        if !rounds.is_multiple_of(AUDIT_TICKS) || !self.has_lease(i) {
+    pub(super) fn audit(&self, state: &mut StoreState, rounds: u64) {
+        if !rounds.is_multiple_of(AUDIT_TICKS) || !self.has_lease(state) {
             return;
         }
-        let waiting = self.waiting(i);
-        telemetry::set("waiting_queued", i.scheduler.queued_count() as u64);
-        telemetry::set("waiting_for_a_time", i.scheduler.delayed_count() as u64);
-        telemetry::set("waiting_under_way", i.scheduler.in_flight.len() as u64);
+        let waiting = self.waiting(state);
+        telemetry::set("waiting_queued", state.scheduler.queued_count() as u64);
+        telemetry::set("waiting_for_a_time", state.scheduler.delayed_count() as u64);
+        telemetry::set("waiting_under_way", state.scheduler.in_flight.len() as u64);
         telemetry::set("waiting_behind_another", waiting.behind_another);
         telemetry::set("waiting_for_their_answer", waiting.answering);
         telemetry::set("waiting_for_a_take_over", waiting.taken_over);
         self.check_scheduled(&waiting.unscheduled);
-        self.check_queues(i);
+        self.check_queues(state);
         let now = self.now();
         for key in waiting.unscheduled {
-            self.schedule(i, key, now);
+            self.schedule(state, key, now);
         }
     }
 
-    fn waiting(&self, i: &StoreState) -> Waiting {
-        let scheduled = i.scheduler.scheduled();
+    fn waiting(&self, state: &StoreState) -> Waiting {
+        let scheduled = state.scheduler.scheduled();
         let mut waiting = Waiting::default();
-        for replica in i.replicas.values().filter(|replica| replica.open()) {
-            let recovering_up_to = i.recovering.get(&replica.id).copied().unwrap_or(0);
+        for replica in state.replicas.values().filter(|replica| replica.open()) {
+            let recovering_up_to = state.recovering.get(&replica.id).copied().unwrap_or(0);
             for position in &replica.state.pending {
                 let key = (replica.id, *position);
                 if scheduled.contains(&key) {
                     continue;
                 }
-                let is_head = replica.state.pieces.get(position).is_some_and(|w| replica.state.is_head(*position, w));
+                let is_head =
+                    replica.state.pieces.get(position).is_some_and(|message| replica.state.is_head(*position, message));
                 if *position <= recovering_up_to || !replica.caught_up() {
                     waiting.taken_over += 1;
                 } else if !is_head {
                     waiting.behind_another += 1;
-                } else if i.uncommitted_reports.contains_key(&key) {
+                } else if state.uncommitted_reports.contains_key(&key) {
                     waiting.answering += 1;
                 } else {
                     waiting.unscheduled.push(key);
@@ -75,10 +76,10 @@
         );
     }
 
-    fn check_queues(&self, i: &StoreState) {
-        let queues = i.scheduler.ready_queues();
+    fn check_queues(&self, state: &StoreState) {
+        let queues = state.scheduler.ready_queues();
         let is_unserved =
-            |queue: &&QueueId| self.session.with_known(|k| k.configuration.service(&queue.service).is_none());
+            |queue: &&QueueId| self.session.with_known(|known| known.configuration.service(&queue.service).is_none());
         let unserved: Vec<&QueueId> = queues.iter().filter(is_unserved).collect();
         let first = unserved.first().map(|queue| queue.service.as_str());
         telemetry::check_invariant(
