--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -4,56 +4,56 @@
 
 impl StoreService {
     /// Schedules a message that may run: queues it if it is due, else delays it until then.
-    pub(super) fn schedule(&self, i: &mut StoreState, k: Key, now: u64) {
-        let Some(m) = i.replicas.get(&k.0) else { return };
-        let Some(w) = m.state.pieces.get(&k.1) else { return };
-        if m.role != ReplicaRole::Owner
-            || w.state != MessageState::Pending
-            || !m.state.is_head(k.1, w)
-            || i.uncommitted_reports.contains_key(&k)
+    pub(super) fn schedule(&self, state: &mut StoreState, key: Key, now: u64) {
+        let Some(replica) = state.replicas.get(&key.0) else { return };
+        let Some(message) = replica.state.pieces.get(&key.1) else { return };
+        if replica.role != ReplicaRole::Owner
+            || message.state != MessageState::Pending
+            || !replica.state.is_head(key.1, message)
+            || state.uncommitted_reports.contains_key(&key)
         {
             return;
         }
-        let Some(time) = m.time(now) else {
+        let Some(time) = replica.time(now) else {
             // The time comes with the lease, and nothing is dispatched without one.
-            i.scheduler.delay_until(k, now + self.quiet_fraction_ms(100.0));
+            state.scheduler.delay_until(key, now + self.quiet_fraction_ms(100.0));
             return;
         };
-        let due = w.at_ms + surely_over(w.due_ms.saturating_sub(w.at_ms));
+        let due = message.at_ms + surely_over(message.due_ms.saturating_sub(message.at_ms));
         if due > time {
-            i.scheduler.delay_until(k, now + (due - time));
+            state.scheduler.delay_until(key, now + (due - time));
             return;
         }
         // When the message became due, on this process's steady clock.
-        let due_since = now.saturating_sub(time.saturating_sub(w.due_ms));
-        let queue = self.session.with_known(|known| QueueId::of(&known.configuration, &w.item));
+        let due_since = now.saturating_sub(time.saturating_sub(message.due_ms));
+        let queue = self.session.with_known(|known| QueueId::of(&known.configuration, &message.item));
         match queue {
-            Some(queue) => i.scheduler.enqueue(k, queue, due_since),
+            Some(queue) => state.scheduler.enqueue(key, queue, due_since),
             // Either the message is from a node with a newer configuration, which will arrive
             // here, or its route was removed, which a log record is about to say.
             None => {
                 telemetry::count("routes_not_known_yet");
-                i.scheduler.delay_until(k, now + self.quiet_fraction_ms(40.0));
+                state.scheduler.delay_until(key, now + self.quiet_fraction_ms(40.0));
             }
         }
     }
 
     /// Reassigns queued messages to queues after a configuration change: a route may have got
     /// other services, or a service may have been removed.
-    fn reassign_queues(&self, i: &mut StoreState, configuration: &config::ConfigurationIndex, now: u64) {
-        if i.queued_by_revision == configuration.revision {
+    fn reassign_queues(&self, state: &mut StoreState, configuration: &config::ConfigurationIndex, now: u64) {
+        if state.queued_by_revision == configuration.revision {
             return;
         }
-        i.queued_by_revision = configuration.revision;
+        state.queued_by_revision = configuration.revision;
         let is_elsewhere = |(key, queue): &(Key, &QueueId)| {
-            let message = i.replicas.get(&key.0).and_then(|replica| replica.state.pieces.get(&key.1));
+            let message = state.replicas.get(&key.0).and_then(|replica| replica.state.pieces.get(&key.1));
             message.and_then(|message| QueueId::of(configuration, &message.item)).as_ref() != Some(*queue)
         };
-        let moved: Vec<Key> = i.scheduler.queued_messages().filter(is_elsewhere).map(|(key, _)| key).collect();
+        let moved: Vec<Key> = state.scheduler.queued_messages().filter(is_elsewhere).map(|(key, _)| key).collect();
         telemetry::add("messages_queued_anew", moved.len() as u64);
         for key in moved {
-            i.scheduler.remove_queued(key);
-            self.schedule(i, key, now);
+            state.scheduler.remove_queued(key);
+            self.schedule(state, key, now);
         }
     }
 
@@ -62,7 +62,7 @@
     /// partitions may keep messages for such a service. Each owner then gets the share of the
     /// partitions that it owns. An owner of none of them that still has messages, as of a route
     /// that was changed to another service, gets the share of one partition.
-    fn metered_share(&self, i: &StoreState, known: &agent::ClusterView, service: &config::Service) -> f64 {
+    fn metered_share(&self, state: &StoreState, known: &agent::ClusterView, service: &config::Service) -> f64 {
         let configuration = &known.configuration;
         let has_operations = self.settings.constraints.key_window_s > 0.0;
         let is_sequenced = || configuration.message_routes(&service.name).any(|route| route.sequenced);
@@ -74,7 +74,7 @@
         if partitions.len() <= 1 {
             return 1.0;
         }
-        let is_own = |partition: &&u32| i.replicas.get(partition).is_some_and(PartitionReplica::open);
+        let is_own = |partition: &&u32| state.replicas.get(partition).is_some_and(PartitionReplica::open);
         let own = partitions.iter().filter(is_own).count();
         own.max(1) as f64 / partitions.len() as f64
     }
@@ -84,67 +84,76 @@
         let now = self.now();
         let known = self.session.known();
         let mut guard = self.shared.lock().unwrap();
-        let i = &mut *guard;
+        let state = &mut *guard;
         let mut wake = now + self.quiet_fraction_ms(20.0);
-        if !self.has_lease(i) {
+        if !self.has_lease(state) {
             return wake;
         }
-        i.scheduler.update_view(&known.membership, &known.assignments);
-        let owned: Vec<u32> = i.replicas.values().filter(|m| m.role == ReplicaRole::Owner).map(|m| m.id).collect();
+        state.scheduler.update_view(&known.membership, &known.assignments);
+        let owned: Vec<u32> = state
+            .replicas
+            .values()
+            .filter(|replica| replica.role == ReplicaRole::Owner)
+            .map(|replica| replica.id)
+            .collect();
         for p in owned {
-            self.owner_time(i, p);
+            self.owner_time(state, p);
         }
-        while let Some(k) = i.scheduler.pop_due(now) {
-            self.schedule(i, k, now);
+        while let Some(key) = state.scheduler.pop_due(now) {
+            self.schedule(state, key, now);
         }
-        self.reassign_queues(i, &known.configuration, now);
-        for k in i.scheduler.overdue(now) {
+        self.reassign_queues(state, &known.configuration, now);
+        for key in state.scheduler.overdue(now) {
             // The delivery node did not report in time: the outcome is unknown, and no failed
             // attempt is counted.
             telemetry::count("runs_overdue");
-            i.scheduler.end_attempt(k);
-            let backoff = i.scheduler.next_backoff(k);
-            i.scheduler.delay_until(k, now + backoff);
+            state.scheduler.end_attempt(key);
+            let backoff = state.scheduler.next_backoff(key);
+            state.scheduler.delay_until(key, now + backoff);
         }
         let mut touched = HashSet::new();
-        for queue in i.scheduler.ready_queues() {
+        for queue in state.scheduler.ready_queues() {
             let name = &queue.service;
             let Some(service) = known.configuration.service(name) else { continue };
-            let share = self.metered_share(i, &known, service);
-            i.scheduler.set_share(name, share);
+            let share = self.metered_share(state, &known, service);
+            state.scheduler.set_share(name, share);
             let target_start = known.configuration.target_start_ms(name) as u64;
-            while let Some(k) = i.scheduler.next_ready(&queue, now, target_start) {
-                let is_recovering = i.recovering.get(&k.0).is_some_and(|end| k.1 <= *end);
-                if is_recovering || i.replicas.get(&k.0).is_none_or(|m| !m.open()) {
+            while let Some(key) = state.scheduler.next_ready(&queue, now, target_start) {
+                let is_recovering = state.recovering.get(&key.0).is_some_and(|end| key.1 <= *end);
+                if is_recovering || state.replicas.get(&key.0).is_none_or(|replica| !replica.open()) {
                     // The partition was just taken over, or it is moving: retried later.
-                    i.scheduler.remove_queued(k);
-                    i.scheduler.delay_until(k, now + self.quiet_fraction_ms(100.0));
+                    state.scheduler.remove_queued(key);
+                    state.scheduler.delay_until(key, now + self.quiet_fraction_ms(100.0));
                     continue;
                 }
-                let item = i.replicas.get(&k.0).and_then(|m| m.state.pieces.get(&k.1)).map(|w| &w.item);
+                let item = state
+                    .replicas
+                    .get(&key.0)
+                    .and_then(|replica| replica.state.pieces.get(&key.1))
+                    .map(|message| &message.item);
                 if item.and_then(|item| QueueId::of(&known.configuration, item)).is_none_or(|now| now != queue) {
                     // Its route was changed or removed since it was queued: rescheduled.
-                    i.scheduler.remove_queued(k);
-                    i.scheduler.delay_until(k, now + self.quiet_fraction_ms(400.0));
+                    state.scheduler.remove_queued(key);
+                    state.scheduler.delay_until(key, now + self.quiet_fraction_ms(400.0));
                     continue;
                 }
-                let Some(choice) = i.scheduler.choose(service, &queue.homes, now) else { break };
-                if let Err(at) = i.scheduler.take_token(service, now) {
+                let Some(choice) = state.scheduler.choose(service, &queue.homes, now) else { break };
+                if let Err(at) = state.scheduler.take_token(service, now) {
                     wake = wake.min(at);
                     break;
                 }
-                if !self.dispatch(i, &known, k, service, choice, now) {
-                    i.scheduler.remove_queued(k);
-                    i.scheduler.delay_until(k, now + self.quiet_fraction_ms(100.0));
+                if !self.dispatch(state, &known, key, service, choice, now) {
+                    state.scheduler.remove_queued(key);
+                    state.scheduler.delay_until(key, now + self.quiet_fraction_ms(100.0));
                 }
-                touched.insert(k.0);
+                touched.insert(key.0);
             }
         }
         for p in touched {
-            self.step(i, p, |m, now, out| m.flush(now, out));
+            self.step(state, p, |replica, now, effects| replica.flush(now, effects));
         }
-        self.send_callbacks(i, now);
-        if let Some(due) = i.scheduler.next_due() {
+        self.send_callbacks(state, now);
+        if let Some(due) = state.scheduler.next_due() {
             wake = wake.min(due.max(now + 1));
         }
         wake
@@ -155,32 +164,35 @@
     #[allow(clippy::too_many_arguments)]
     pub(super) fn dispatch(
         self: &Arc<Self>,
-        i: &mut StoreState,
+        state: &mut StoreState,
         known: &agent::ClusterView,
-        k: Key,
+        key: Key,
         service: &config::Service,
         choice: Target,
         now: u64,
     ) -> bool {
-        let at_ms = self.owner_time(i, k.0);
-        let Some(m) = i.replicas.get_mut(&k.0) else { return false };
-        let Some(w) = m.state.pieces.get(&k.1).filter(|w| w.state == MessageState::Pending) else { return false };
-        let route = known.configuration.route_covering(&w.item.route, &w.item.host, &w.item.path);
+        let at_ms = self.owner_time(state, key.0);
+        let Some(replica) = state.replicas.get_mut(&key.0) else { return false };
+        let Some(message) = replica.state.pieces.get(&key.1).filter(|message| message.state == MessageState::Pending)
+        else {
+            return false;
+        };
+        let route = known.configuration.route_covering(&message.item.route, &message.item.host, &message.item.path);
         let Some(route) = route else { return false };
         let timeout = route.timeout_ms as u64;
-        let mut item = w.item.clone();
+        let mut item = message.item.clone();
         item.notify_url.clear();
         item.operation = None;
         let dispatch =
-            DispatchRecord { position: k.1, processor: choice.processor.clone(), node: choice.front.clone() };
+            DispatchRecord { position: key.1, processor: choice.processor.clone(), node: choice.front.clone() };
         let record = Record { at_ms, entry: Some(Entry::Dispatch(dispatch)) };
-        let mut out = Vec::new();
-        let Some(attempt) = m.append(&record, now, &mut out) else { return false };
+        let mut effects = Vec::new();
+        let Some(attempt) = replica.append(&record, now, &mut effects) else { return false };
         let run = Run {
-            partition: k.0,
+            partition: key.0,
             attempt,
-            term: m.term,
-            position: k.1,
+            term: replica.term,
+            position: key.1,
             address: choice.address.clone(),
             processor: choice.target.clone(),
             timeout_ms: timeout as u32,
@@ -189,25 +201,25 @@
             revoked: false,
         };
         // A delivery node waits 5 % longer than the route's time-out.
-        i.scheduler.start_attempt(k, &choice, route, now + timeout * 21 / 20 + self.quiet_fraction_ms(8.0));
-        i.scheduler.set_attempt_number(k, run.term, attempt);
-        self.execute_effects(i, k.0, out);
+        state.scheduler.start_attempt(key, &choice, route, now + timeout * 21 / 20 + self.quiet_fraction_ms(8.0));
+        state.scheduler.set_attempt_number(key, run.term, attempt);
+        self.execute_effects(state, key.0, effects);
         telemetry::count("dispatched");
-        let post = self.clone();
-        tokio::spawn(async move { post.send_attempt(run, choice).await });
+        let this = self.clone();
+        tokio::spawn(async move { this.send_attempt(run, choice).await });
         true
     }
 
     /// Sends one attempt to the delivery node. If it is certain that the node does not have it,
     /// the message is scheduled again.
     pub(super) async fn send_attempt(self: Arc<Self>, run: Run, choice: Target) {
-        let k = (run.partition, run.position);
+        let key = (run.partition, run.position);
         let (term, attempt) = (run.term, run.attempt);
         let wait = Duration::from_millis(self.quiet_fraction_ms(8.0));
-        let end = self.rpc_clients.to(&choice.front_inner);
+        let client = self.rpc_clients.to(&choice.front_inner);
         let (item, address, processor) = (Item::default(), String::new(), String::new());
         let revoke = Run { revoked: true, item, address, processor, ..run };
-        match end.call(Body::Run(run), wait).await {
+        match client.call(Body::Run(run), wait).await {
             Ok(Body::RunAck(a)) if a.taken => return,
             Ok(_) | Err(ExecutionOutcome::NotRun) => {}
             Err(_) => {
@@ -215,7 +227,7 @@
                 // was replaced. Revoking it tells whether the node has taken it.
                 let mut clear = false;
                 for _ in 0..3 {
-                    match end.call(Body::Run(revoke.clone()), wait).await {
+                    match client.call(Body::Run(revoke.clone()), wait).await {
                         Ok(Body::RunAck(a)) if a.taken => return,
                         Ok(_) => {
                             clear = true;
@@ -232,65 +244,70 @@
             }
         }
         telemetry::count("runs_not_given");
-        let mut i = self.shared.lock().unwrap();
-        let i = &mut *i;
-        if i.scheduler.in_flight.get(&k).is_some_and(|f| f.attempt == (term, attempt)) {
-            i.scheduler.end_attempt(k);
-            i.scheduler.delay_until(k, self.now() + self.quiet_fraction_ms(200.0));
+        let mut state = self.shared.lock().unwrap();
+        let state = &mut *state;
+        if state.scheduler.in_flight.get(&key).is_some_and(|f| f.attempt == (term, attempt)) {
+            state.scheduler.end_attempt(key);
+            state.scheduler.delay_until(key, self.now() + self.quiet_fraction_ms(200.0));
             self.wake.notify_one();
         }
     }
 
     /// Sends the call-backs that are due.
-    pub(super) fn send_callbacks(self: &Arc<Self>, i: &mut StoreState, now: u64) {
+    pub(super) fn send_callbacks(self: &Arc<Self>, state: &mut StoreState, now: u64) {
         let mut left = std::collections::VecDeque::new();
-        while let Some((at, k)) = i.scheduler.callbacks.pop_front() {
-            let piece =
-                i.replicas.get(&k.0).filter(|m| m.role == ReplicaRole::Owner).and_then(|m| m.state.pieces.get(&k.1));
-            let Some(w) = piece.filter(|w| w.owes_notice()) else { continue };
-            let host = w.item.notify_url.trim_start_matches("http://").split('/').next().unwrap_or("").to_owned();
-            let busy = i.scheduler.callbacks_in_flight.get(&host).copied().unwrap_or(0);
-            let homes = self.session.with_known(|s| s.configuration.homes_on(&w.item.route, &w.item.tenant));
-            let front = i.scheduler.any_front(&host, &homes.unwrap_or_default());
+        while let Some((at, key)) = state.scheduler.callbacks.pop_front() {
+            let message = state
+                .replicas
+                .get(&key.0)
+                .filter(|replica| replica.role == ReplicaRole::Owner)
+                .and_then(|replica| replica.state.pieces.get(&key.1));
+            let Some(message) = message.filter(|message| message.owes_notice()) else { continue };
+            let host = message.item.notify_url.trim_start_matches("http://").split('/').next().unwrap_or("").to_owned();
+            let busy = state.scheduler.callbacks_in_flight.get(&host).copied().unwrap_or(0);
+            let homes = self
+                .session
+                .with_known(|known| known.configuration.homes_on(&message.item.route, &message.item.tenant));
+            let front = state.scheduler.any_front(&host, &homes.unwrap_or_default());
             let (Some((_, inner)), true, true) = (front, at <= now, busy < 8) else {
-                left.push_back((at, k));
+                left.push_back((at, key));
                 continue;
             };
             let callback = Notify {
-                url: w.item.notify_url.clone(),
-                id: w.item.id.clone(),
-                state: w.state.word().into(),
-                result_tag: w.result_tag.clone(),
+                url: message.item.notify_url.clone(),
+                id: message.item.id.clone(),
+                state: message.state.word().into(),
+                result_tag: message.result_tag.clone(),
             };
-            *i.scheduler.callbacks_in_flight.entry(host.clone()).or_insert(0) += 1;
-            let post = self.clone();
+            *state.scheduler.callbacks_in_flight.entry(host.clone()).or_insert(0) += 1;
+            let this = self.clone();
             tokio::spawn(async move {
-                let wait = Duration::from_millis((post.settings.constraints.notify_s * 400.0) as u64);
-                let status = match post.rpc_clients.to(&inner).call(Body::Notify(callback), wait).await {
+                let wait = Duration::from_millis((this.settings.constraints.notify_s * 400.0) as u64);
+                let status = match this.rpc_clients.to(&inner).call(Body::Notify(callback), wait).await {
                     Ok(Body::NotifyAck(a)) => a.status,
                     _ => 0,
                 };
-                let mut i = post.shared.lock().unwrap();
-                let i = &mut *i;
-                if let Some(n) = i.scheduler.callbacks_in_flight.get_mut(&host) {
+                let mut state = this.shared.lock().unwrap();
+                let state = &mut *state;
+                if let Some(n) = state.scheduler.callbacks_in_flight.get_mut(&host) {
                     *n = n.saturating_sub(1);
                 }
                 if status == 200 {
                     telemetry::count("call_backs_taken");
-                    i.called_back.entry(k.0).or_default().push(k.1);
-                    if let Some(m) = i.replicas.get_mut(&k.0)
-                        && m.role != ReplicaRole::Owner
+                    state.called_back.entry(key.0).or_default().push(key.1);
+                    if let Some(replica) = state.replicas.get_mut(&key.0)
+                        && replica.role != ReplicaRole::Owner
                     {
-                        i.called_back.remove(&k.0);
+                        state.called_back.remove(&key.0);
                     }
                 } else {
                     telemetry::count("call_backs_missed");
-                    let backoff = i.scheduler.next_backoff(k);
-                    i.scheduler.callbacks.push_back((post.now() + backoff, k));
+                    let backoff = state.scheduler.next_backoff(key);
+                    state.scheduler.callbacks.push_back((this.now() + backoff, key));
                 }
-                post.wake.notify_one();
+                this.wake.notify_one();
             });
         }
-        i.scheduler.callbacks = left;
+        state.scheduler.callbacks = left;
     }
 }
