--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -7,66 +7,68 @@
     pub(super) fn tick(self: &Arc<Self>, rounds: u64) {
         let known = self.session.known();
         let mut guard = self.shared.lock().unwrap();
-        let i = &mut *guard;
+        let state = &mut *guard;
         let compact = (self.settings.limits.disk_mb as usize) << 20;
-        let parts = i.replicas.len().max(1);
+        let parts = state.replicas.len().max(1);
         let lag = self.disk_lag();
-        for p in i.replicas.keys().copied().collect::<Vec<_>>() {
-            let owns = i.replicas[&p].role == ReplicaRole::Owner;
-            if owns && !self.is_timed(i, p) {
+        for p in state.replicas.keys().copied().collect::<Vec<_>>() {
+            let owns = state.replicas[&p].role == ReplicaRole::Owner;
+            if owns && !self.is_timed(state, p) {
                 continue;
             }
-            let time = if owns { self.owner_time(i, p) } else { 0 };
-            let m = &i.replicas[&p];
-            if m.open() {
+            let time = if owns { self.owner_time(state, p) } else { 0 };
+            let replica = &state.replicas[&p];
+            if replica.open() {
                 let mut records = Vec::new();
-                if known.configuration.revision > m.state.revision {
-                    records.push(Entry::Routes(m.state.since_known(routes(&known.configuration))));
+                if known.configuration.revision > replica.state.revision {
+                    records.push(Entry::Routes(replica.state.since_known(routes(&known.configuration))));
                 }
-                if let Some(n) = i.called_back.remove(&p).filter(|n| !n.is_empty()) {
+                if let Some(n) = state.called_back.remove(&p).filter(|n| !n.is_empty()) {
                     records.push(Entry::Notified(Positions { positions: n }));
                 }
                 if rounds.is_multiple_of(10) {
-                    let over = self.ended_messages(m, &known.configuration, time);
+                    let over = self.ended_messages(replica, &known.configuration, time);
                     if !over.is_empty() {
                         records.push(Entry::Expire(Positions { positions: over }));
                     }
                 }
                 let now = self.now();
-                let mut out = Vec::new();
-                if let Some(m) = i.replicas.get_mut(&p) {
+                let mut effects = Vec::new();
+                if let Some(replica) = state.replicas.get_mut(&p) {
                     for e in records {
-                        m.append(&Record { at_ms: time, entry: Some(e) }, now, &mut out);
+                        replica.append(&Record { at_ms: time, entry: Some(e) }, now, &mut effects);
                     }
                 }
-                self.execute_effects(i, p, out);
+                self.execute_effects(state, p, effects);
             }
-            self.step(i, p, |m, now, out| {
-                m.tick(now, time, out);
-                m.compact(compact / 6 / parts, out);
+            self.step(state, p, |replica, now, effects| {
+                replica.tick(now, time, effects);
+                replica.compact(compact / 6 / parts, effects);
             });
             // Return to the preferred owner, by an ordinary planned move.
-            let m = &i.replicas[&p];
-            if m.role == ReplicaRole::Owner && !m.is_moving() && !i.leaving && rounds.is_multiple_of(10) {
-                let preferred = m.replicas.first().cloned().unwrap_or_default();
+            let replica = &state.replicas[&p];
+            if replica.role == ReplicaRole::Owner && !replica.is_moving() && !state.leaving && rounds.is_multiple_of(10)
+            {
+                let preferred = replica.replicas.first().cloned().unwrap_or_default();
                 let keeps_up = |node: &String| {
-                    !i.lagging_nodes.contains(node) && known.node(node, "store").is_some_and(|n| !n.leaving)
+                    !state.lagging_nodes.contains(node) && known.node(node, "store").is_some_and(|n| !n.leaving)
                 };
                 // With a slow disk here, move to a node whose disk keeps up until this one
                 // recovers. This node's copy counts until another one has replaced it.
                 let to = match lag {
-                    1 => m.candidates().into_iter().find(keeps_up),
-                    _ => Some(preferred)
-                        .filter(|node| *node != self.settings.node && m.in_sync().contains(node) && keeps_up(node)),
+                    1 => replica.candidates().into_iter().find(keeps_up),
+                    _ => Some(preferred).filter(|node| {
+                        *node != self.settings.node && replica.in_sync().contains(node) && keeps_up(node)
+                    }),
                 };
                 if let Some(to) = to {
-                    self.step(i, p, |m, now, out| m.start_move(&to, false, time, now, out));
+                    self.step(state, p, |replica, now, effects| replica.start_move(&to, false, time, now, effects));
                 }
             }
         }
-        self.audit(i, rounds);
+        self.audit(state, rounds);
         let now = self.now();
-        let corrections = i.replicas.values().map(|m| m.correction_ms(now).unsigned_abs());
+        let corrections = state.replicas.values().map(|replica| replica.correction_ms(now).unsigned_abs());
         telemetry::set("partition_time_correction_ms", corrections.max().unwrap_or(0));
         if rounds.is_multiple_of(300) {
             telemetry::report(&self.settings.node, &rpc::sent());
@@ -135,22 +137,23 @@
             let mut owned = 0;
             {
                 let mut guard = self.shared.lock().unwrap();
-                let i = &mut *guard;
+                let state = &mut *guard;
                 let known = self.session.known();
-                for p in i.replicas.keys().copied().collect::<Vec<_>>() {
-                    let m = &i.replicas[&p];
-                    if m.role != ReplicaRole::Owner {
+                for p in state.replicas.keys().copied().collect::<Vec<_>>() {
+                    let replica = &state.replicas[&p];
+                    if replica.role != ReplicaRole::Owner {
                         continue;
                     }
-                    let to = m.candidates().into_iter().find(|c| known.node(c, "store").is_some_and(|n| !n.leaving));
-                    if to.is_some() || m.is_moving() || self.is_copy_due(&known, p) {
+                    let to =
+                        replica.candidates().into_iter().find(|c| known.node(c, "store").is_some_and(|n| !n.leaving));
+                    if to.is_some() || replica.is_moving() || self.is_copy_due(&known, p) {
                         owned += 1;
                     }
-                    if let (Some(to), false) = (to, m.is_moving())
-                        && self.is_timed(i, p)
+                    if let (Some(to), false) = (to, replica.is_moving())
+                        && self.is_timed(state, p)
                     {
-                        let time = self.owner_time(i, p);
-                        self.step(i, p, |m, now, out| m.start_move(&to, true, time, now, out));
+                        let time = self.owner_time(state, p);
+                        self.step(state, p, |replica, now, effects| replica.start_move(&to, true, time, now, effects));
                     }
                 }
             }
@@ -163,8 +166,8 @@
         // them.
         let due = || {
             let known = self.session.known();
-            let i = self.shared.lock().unwrap();
-            i.replicas.keys().filter(|p| self.is_copy_due(&known, **p)).count()
+            let state = self.shared.lock().unwrap();
+            state.replicas.keys().filter(|p| self.is_copy_due(&known, **p)).count()
         };
         while due() > 0 && begun.elapsed() < limit {
             tokio::time::sleep(Duration::from_millis(self.quiet_fraction_ms(200.0))).await;
@@ -175,8 +178,13 @@
             telemetry::change!("ends with {left} copies that stand nowhere else yet");
         }
         let followed: Vec<u32> = {
-            let i = self.shared.lock().unwrap();
-            i.replicas.values().filter(|m| m.role == ReplicaRole::Follower).map(|m| m.id).collect()
+            let state = self.shared.lock().unwrap();
+            state
+                .replicas
+                .values()
+                .filter(|replica| replica.role == ReplicaRole::Follower)
+                .map(|replica| replica.id)
+                .collect()
         };
         let mut asks = Vec::new();
         for p in followed {
