--- a/crates/store/src/service/lease.rs
+++ b/crates/store/src/service/lease.rs
@@ -4,19 +4,19 @@
 
 impl StoreService {
     /// Whether this node holds the lease now and may act as owner.
-    pub(super) fn has_lease(&self, i: &StoreState) -> bool {
-        self.now() < i.lease_until
+    pub(super) fn has_lease(&self, state: &StoreState) -> bool {
+        self.now() < state.lease_until
     }
 
     /// The latest time that is known to have passed in any partition here.
     fn reached_ms(&self) -> u64 {
         let now = self.now();
-        self.shared.lock().unwrap().replicas.values().map(|m| m.reached_ms(now)).max().unwrap_or(0)
+        self.shared.lock().unwrap().replicas.values().map(|replica| replica.reached_ms(now)).max().unwrap_or(0)
     }
 
     pub(super) fn extend_lease(&self, until: u64) {
-        let mut i = self.shared.lock().unwrap();
-        i.lease_until = i.lease_until.max(until);
+        let mut state = self.shared.lock().unwrap();
+        state.lease_until = state.lease_until.max(until);
         self.wake.notify_one();
     }
 
@@ -29,20 +29,21 @@
             let asked = self.now();
             let lag = self.disk_lag();
             let (samples, claims) = {
-                let mut i = self.shared.lock().unwrap();
+                let mut state = self.shared.lock().unwrap();
                 if lag == 2 {
                     // The node could not commit anything: it gives up the lease before another
                     // node takes over.
-                    if i.lease_until > 0 {
+                    if state.lease_until > 0 {
                         telemetry::change!("the disk does not answer: no owner until it does");
                     }
-                    i.lease_until = 0;
+                    state.lease_until = 0;
                 }
-                let owned = i.replicas.values().filter(|m| m.role == ReplicaRole::Owner);
-                let claims = owned.map(|m| Holding { partition: m.id, term: m.term }).collect::<Vec<_>>();
-                (i.scheduler.take_samples(), claims)
+                let owned = state.replicas.values().filter(|replica| replica.role == ReplicaRole::Owner);
+                let claims =
+                    owned.map(|replica| Holding { partition: replica.id, term: replica.term }).collect::<Vec<_>>();
+                (state.scheduler.take_samples(), claims)
             };
-            let leader = self.session.with_known(|k| k.leader.clone());
+            let leader = self.session.with_known(|known| known.leader.clone());
             let seeds = self.session.order_control_nodes();
             let addr = if leader.is_empty() { seeds[turn % seeds.len()].clone() } else { leader.clone() };
             turn += 1;
@@ -63,7 +64,7 @@
                         // Partitions that have a newer owner are given up before the lease takes
                         // effect.
                         for c in &a.outdated {
-                            self.step(&mut guard, c.id, |m, now, out| m.assignments(c, now, out));
+                            self.step(&mut guard, c.id, |replica, now, effects| replica.assignments(c, now, effects));
                         }
                         guard.lagging_nodes = a.lagging;
                     }
@@ -135,7 +136,7 @@
         let mut guard = self.shared.lock().unwrap();
         guard.lease_until = 0;
         for p in guard.replicas.keys().copied().collect::<Vec<_>>() {
-            self.step(&mut guard, p, |m, _, out| m.relive(incarnation, out));
+            self.step(&mut guard, p, |replica, _, effects| replica.relive(incarnation, effects));
         }
     }
 
