--- a/crates/store/src/service/placements.rs
+++ b/crates/store/src/service/placements.rs
@@ -8,9 +8,9 @@
 
 impl StoreService {
     /// Answers in which partition a subject is kept, or places it.
-    pub(super) fn place(self: &Arc<Self>, i: &mut StoreState, request: Place, responder: Responder) {
+    pub(super) fn place(self: &Arc<Self>, state: &mut StoreState, request: Place, responder: Responder) {
         let partition = request.partition;
-        if let Some(owner) = self.other_owner(i, partition) {
+        if let Some(owner) = self.other_owner(state, partition) {
             responder.send(accepted(AcceptOutcome::Elsewhere, 0, &owner));
             return;
         }
@@ -19,36 +19,42 @@
             return;
         };
         if let PlacementSubject::Operation(operation) = subject
-            && let Some(key) = i.uncommitted_accepts.find_operation(partition, *operation)
+            && let Some(key) = state.uncommitted_accepts.find_operation(partition, *operation)
         {
-            i.waiters.entry(key).or_default().push(Waiter::Accept(responder));
+            state.waiters.entry(key).or_default().push(Waiter::Accept(responder));
             return;
         }
-        let at_ms = self.owner_time(i, partition);
-        if let Some(answer) = answer_without_record(&i.replicas[&partition], &request, subject, at_ms) {
+        let at_ms = self.owner_time(state, partition);
+        if let Some(answer) = answer_without_record(&state.replicas[&partition], &request, subject, at_ms) {
             responder.send(answer);
             return;
         }
         let Some(wanted) = request.wanted else { return };
-        if !self.has_room(i, request.rank, 0) {
+        if !self.has_room(state, request.rank, 0) {
             telemetry::count("refused_full");
             responder.send(accepted(AcceptOutcome::Full, 0, ""));
             return;
         }
         let Place { subject, generation, hold_ms, .. } = request;
         let place = PlaceRecord { partition: wanted, subject, generation, hold_ms };
-        self.append_placement(i, partition, Record { at_ms, entry: Some(Entry::Place(place)) }, responder);
+        self.append_placement(state, partition, Record { at_ms, entry: Some(Entry::Place(place)) }, responder);
     }
 
     /// Appends a placement. The request is answered once the record is applied.
-    fn append_placement(self: &Arc<Self>, i: &mut StoreState, partition: u32, record: Record, responder: Responder) {
+    fn append_placement(
+        self: &Arc<Self>,
+        state: &mut StoreState,
+        partition: u32,
+        record: Record,
+        responder: Responder,
+    ) {
         telemetry::count("placements_written");
         let mut effects = Vec::new();
-        match self.append(i, partition, &record, &mut effects) {
-            Some(position) => i.waiters.entry((partition, position)).or_default().push(Waiter::Accept(responder)),
+        match self.append(state, partition, &record, &mut effects) {
+            Some(position) => state.waiters.entry((partition, position)).or_default().push(Waiter::Accept(responder)),
             None => responder.send(accepted(AcceptOutcome::Elsewhere, 0, "")),
         }
-        self.execute_effects(i, partition, effects);
+        self.execute_effects(state, partition, effects);
     }
 }
 
