--- a/crates/store/src/service/quota.rs
+++ b/crates/store/src/service/quota.rs
@@ -59,7 +59,7 @@
     /// was kept to wait for a token or was answered with a refusal.
     pub(super) fn admit_by_quota(
         &self,
-        i: &mut StoreState,
+        state: &mut StoreState,
         accept: Accept,
         responder: Responder,
         waited_until_ms: Option<u64>,
@@ -68,8 +68,8 @@
         if tenant.is_empty() || !self.session.with_known(|known| known.configuration.has_limit(tenant)) {
             return Some((accept, responder));
         }
-        self.count_recent_accepts(i);
-        let Some(quota) = &mut i.quota else { return Some((accept, responder)) };
+        self.count_recent_accepts(state);
+        let Some(quota) = &mut state.quota else { return Some((accept, responder)) };
         let now = self.now();
         let take = match quota.counted_terms.contains_key(&accept.partition) {
             true => quota.stock.take(tenant, accept.partition, waited_until_ms.is_none(), now),
@@ -126,9 +126,9 @@
         }
         let now = self.now();
         let mut guard = self.shared.lock().unwrap();
-        let i = &mut *guard;
-        self.count_recent_accepts(i);
-        let quota = i.quota.as_mut()?;
+        let state = &mut *guard;
+        self.count_recent_accepts(state);
+        let quota = state.quota.as_mut()?;
         let (asked, asked_ms) = &quota.asked;
         let is_due = asked != leader || now >= asked_ms + self.settings.quota_lease_ms() / 2;
         if !is_due && !quota.is_request_due && !quota.stock.has_news() {
@@ -155,8 +155,8 @@
         let asked_ms = self.now();
         let incarnation = request.node.incarnation;
         let answer = self.rpc_clients.to(leader).call(Body::QuotaRequest(request), wait).await;
-        let mut i = self.shared.lock().unwrap();
-        let Some(quota) = i.quota.as_mut() else { return };
+        let mut state = self.shared.lock().unwrap();
+        let Some(quota) = state.quota.as_mut() else { return };
         match answer {
             Ok(Body::QuotaResponse(response)) if response.taken && self.session.me().incarnation == incarnation => {
                 (quota.introduces, quota.is_request_due) = (false, false);
@@ -176,27 +176,30 @@
     /// Retries the accepts that wait for a token.
     fn resume_waiting(self: &Arc<Self>) {
         let mut guard = self.shared.lock().unwrap();
-        let i = &mut *guard;
-        let Some(quota) = i.quota.as_mut() else { return };
+        let state = &mut *guard;
+        let Some(quota) = state.quota.as_mut() else { return };
         let waiting = std::mem::take(&mut quota.waiting);
         for waiting in &waiting {
             quota.stock.give_up(&waiting.accept.item.tenant);
         }
         for WaitingAccept { accept, responder, until_ms } in waiting {
-            self.accept(i, accept, responder, Some(until_ms));
+            self.accept(state, accept, responder, Some(until_ms));
         }
     }
 
     /// Counts the messages of the last window in partitions that were taken over.
-    fn count_recent_accepts(&self, i: &mut StoreState) {
+    fn count_recent_accepts(&self, state: &mut StoreState) {
         let window_ms = (self.settings.constraints.quota_window_s * 1000.0) as u64;
         let now = self.now();
-        let Some(quota) = i.quota.as_mut() else { return };
+        let Some(quota) = state.quota.as_mut() else { return };
         let owns = |partition: &u32, term: u64| {
-            i.replicas.get(partition).is_some_and(|replica| replica.role == ReplicaRole::Owner && replica.term == term)
+            state
+                .replicas
+                .get(partition)
+                .is_some_and(|replica| replica.role == ReplicaRole::Owner && replica.term == term)
         };
         quota.counted_terms.retain(|partition, term| owns(partition, *term));
-        for replica in i.replicas.values() {
+        for replica in state.replicas.values() {
             let is_known = replica.role == ReplicaRole::Owner && replica.caught_up();
             if !is_known || quota.counted_terms.contains_key(&replica.id) {
                 continue;
