--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -90,16 +90,16 @@
     }
 
     /// The partition's time for a record that its owner appends now.
-    fn owner_time(&self, i: &mut StoreState, partition: u32) -> u64 {
+    fn owner_time(&self, state: &mut StoreState, partition: u32) -> u64 {
         let (cluster, now) = (self.cluster_time(), self.now());
-        i.replicas.get_mut(&partition).map_or(0, |m| m.owner_time(cluster, now))
+        state.replicas.get_mut(&partition).map_or(0, |replica| replica.owner_time(cluster, now))
     }
 
     /// Whether an owner may append records with its time. False in a process that has not had a
     /// lease yet, as the cluster time comes with the lease.
-    fn is_timed(&self, i: &StoreState, partition: u32) -> bool {
-        let runs = i.replicas.get(&partition).is_some_and(|m| m.time(self.now()).is_some());
-        runs || i.lease_until > 0 || self.cluster_time().is_some()
+    fn is_timed(&self, state: &StoreState, partition: u32) -> bool {
+        let runs = state.replicas.get(&partition).is_some_and(|replica| replica.time(self.now()).is_some());
+        runs || state.lease_until > 0 || self.cluster_time().is_some()
     }
 
     /// `quietMs` divided by `divisor`, in milliseconds.
@@ -122,26 +122,30 @@
     Body::Accepted(Accepted { outcome, partition, generation, ..Accepted::default() })
 }
 
-fn timing(c: &Settings) -> Timing {
+fn timing(settings: &Settings) -> Timing {
     Timing {
-        epoch: (c.constraints.quiet_ms / 8.0) as u64,
-        window: (c.constraints.grace_s * 1000.0 / 20.0) as u64,
-        again: (c.constraints.quiet_ms / 16.0) as u64,
-        status: (c.constraints.status_s * 1000.0) as u64,
-        operations: (c.constraints.key_window_s * 1000.0) as u64,
-        keep_bytes: (c.limits.memory_mb << 20) as usize / 128,
+        epoch: (settings.constraints.quiet_ms / 8.0) as u64,
+        window: (settings.constraints.grace_s * 1000.0 / 20.0) as u64,
+        again: (settings.constraints.quiet_ms / 16.0) as u64,
+        status: (settings.constraints.status_s * 1000.0) as u64,
+        operations: (settings.constraints.key_window_s * 1000.0) as u64,
+        keep_bytes: (settings.limits.memory_mb << 20) as usize / 128,
     }
 }
 
-fn routes(t: &config::Configuration) -> Routes {
-    let mut routes: Vec<RouteFacts> = t
+fn routes(configuration: &config::Configuration) -> Routes {
+    let mut routes: Vec<RouteFacts> = configuration
         .routes
         .iter()
-        .filter(|c| c.mode == "deferred")
-        .map(|c| RouteFacts { route: c.name.clone(), tries: c.tries, retain_ms: (c.retain_s * 1000.0) as u64 })
+        .filter(|route| route.mode == "deferred")
+        .map(|route| RouteFacts {
+            route: route.name.clone(),
+            tries: route.tries,
+            retain_ms: (route.retain_s * 1000.0) as u64,
+        })
         .collect();
     routes.sort_by(|a, b| a.route.cmp(&b.route));
-    Routes { revision: t.revision, routes, ..Routes::default() }
+    Routes { revision: configuration.revision, routes, ..Routes::default() }
 }
 
 /// Runs a store node until `stop` becomes true.
@@ -151,7 +155,7 @@
     settings_updates: watch::Receiver<Settings>,
 ) -> Result<(), String> {
     let quiet = settings.constraints.quiet_ms;
-    let silence = Duration::from_millis((quiet / 4.0) as u64);
+    let silence_timeout = Duration::from_millis((quiet / 4.0) as u64);
     let mut metadata: BTreeMap<u32, Meta> = BTreeMap::new();
     let mut snapshots: HashMap<u32, Bytes> = HashMap::new();
     let mut logs: HashMap<u32, Vec<(u64, LogEntry)>> = HashMap::new();
@@ -161,17 +165,17 @@
         if k.len() != 13 {
             return;
         }
-        let p = u32::from_be_bytes([k[1], k[2], k[3], k[4]]);
-        let n = u64::from_be_bytes(k[5..13].try_into().unwrap_or_default());
+        let partition = u32::from_be_bytes([k[1], k[2], k[3], k[4]]);
+        let position = u64::from_be_bytes(k[5..13].try_into().unwrap_or_default());
         match k[0] {
             b'm' => match Meta::decode(v) {
                 Ok(m) => {
-                    metadata.insert(p, m);
+                    metadata.insert(partition, m);
                 }
-                Err(e) => decode_error = Some(format!("partition {p}: cannot decode the stored metadata: {e}")),
+                Err(e) => decode_error = Some(format!("partition {partition}: cannot decode the stored metadata: {e}")),
             },
             b'd' => match DiskIdentity::decode(v) {
-                Ok(b) => disk_identity = Some(b),
+                Ok(identity) => disk_identity = Some(identity),
                 Err(e) => decode_error = Some(format!("cannot decode the stored disk identity: {e}")),
             },
             b'r' => match Membership::decode(v) {
@@ -179,11 +183,13 @@
                 Err(e) => decode_error = Some(format!("cannot decode the stored membership: {e}")),
             },
             b's' => {
-                snapshots.insert(p, Bytes::copy_from_slice(v));
+                snapshots.insert(partition, Bytes::copy_from_slice(v));
             }
             b'l' => match LogEntry::decode(Bytes::copy_from_slice(v)) {
-                Ok(e) => logs.entry(p).or_default().push((n, e)),
-                Err(e) => decode_error = Some(format!("partition {p}: cannot decode log entry {n}: {e}")),
+                Ok(e) => logs.entry(partition).or_default().push((position, e)),
+                Err(e) => {
+                    decode_error = Some(format!("partition {partition}: cannot decode log entry {position}: {e}"))
+                }
             },
             _ => {}
         }
@@ -198,13 +204,19 @@
     // it look like an intact one.
     wal.write(vec![Op::Put(key(b'd', 0, 0), disk_identity.encode_to_vec().into())], || ());
     let mut replicas = BTreeMap::new();
-    for (p, meta) in metadata {
-        let mut entries = logs.remove(&p).unwrap_or_default();
+    for (partition, meta) in metadata {
+        let mut entries = logs.remove(&partition).unwrap_or_default();
         entries.sort_by_key(|e| e.0);
-        let mut m =
-            PartitionReplica::reload(p, &settings.node, timing(&settings), &meta, snapshots.remove(&p), entries)?;
-        m.incarnation = incarnation;
-        replicas.insert(p, m);
+        let mut replica = PartitionReplica::reload(
+            partition,
+            &settings.node,
+            timing(&settings),
+            &meta,
+            snapshots.remove(&partition),
+            entries,
+        )?;
+        replica.incarnation = incarnation;
+        replicas.insert(partition, replica);
     }
     let node = Node {
         name: settings.node.clone(),
@@ -217,7 +229,7 @@
         born: disk_identity.born,
         changed: 0,
     };
-    let rpc_clients = RpcClients::new(silence);
+    let rpc_clients = RpcClients::new(silence_timeout);
     let session = Session::new(settings.clone(), node, rpc_clients.clone());
     let previous_nodes = previous.nodes.clone();
     session.begin_with(previous);
@@ -260,7 +272,7 @@
     let addr = settings.inner_addr(Role::Store);
     let listener = tokio::net::TcpListener::bind(&addr).await.map_err(|e| format!("{addr}: {e}"))?;
     let worker = service.clone();
-    tokio::spawn(rpc::serve(listener, silence, move |b, responder| worker.handle(b, responder)));
+    tokio::spawn(rpc::serve(listener, silence_timeout, move |b, responder| worker.handle(b, responder)));
     tokio::spawn(session.clone().keep());
     tokio::spawn(session.clone().heed(settings_updates));
     tokio::spawn(service.clone().keep_lease());
@@ -272,11 +284,11 @@
     let worker = service.clone();
     tokio::spawn(async move {
         while let Some((partition, term, end)) = synced_rx.recv().await {
-            let mut i = worker.shared.lock().unwrap();
-            worker.step(&mut i, partition, |m, now, out| m.synced(term, end, now, out));
+            let mut state = worker.shared.lock().unwrap();
+            worker.step(&mut state, partition, |replica, now, effects| replica.synced(term, end, now, effects));
             // One sync may have made several writes durable.
             while let Ok((partition, term, end)) = synced_rx.try_recv() {
-                worker.step(&mut i, partition, |m, now, out| m.synced(term, end, now, out));
+                worker.step(&mut state, partition, |replica, now, effects| replica.synced(term, end, now, effects));
             }
         }
     });
@@ -288,13 +300,16 @@
             let assignments = assignments_rx.borrow_and_update().assignments.clone();
             if assignments.version > seen {
                 seen = assignments.version;
-                let mut i = worker.shared.lock().unwrap();
-                for c in &assignments.partitions {
-                    let mine = c.replicas.contains(&worker.settings.node) || c.in_sync.contains(&worker.settings.node);
-                    if mine {
-                        worker.ensure_replica(&mut i, c.id);
+                let mut state = worker.shared.lock().unwrap();
+                for assignment in &assignments.partitions {
+                    let is_assigned = assignment.replicas.contains(&worker.settings.node)
+                        || assignment.in_sync.contains(&worker.settings.node);
+                    if is_assigned {
+                        worker.ensure_replica(&mut state, assignment.id);
                     }
-                    worker.step(&mut i, c.id, |m, now, out| m.assignments(c, now, out));
+                    worker.step(&mut state, assignment.id, |replica, now, effects| {
+                        replica.assignments(assignment, now, effects)
+                    });
                 }
             }
             worker.wake.notify_one();
