--- a/crates/store/tests/takeover.rs
+++ b/crates/store/tests/takeover.rs
@@ -1,4 +1,4 @@
-//! Between a restart and the leader's first word on the membership.
+//! Tests of a take-over between a restart and the first membership from the leader.
 
 use rpc::messages::{Membership, Node};
 use std::collections::HashSet;
@@ -17,37 +17,37 @@
 }
 
 #[test]
-fn a_new_owner_that_was_told_no_membership_waits_for_it() {
-    let former = [node("f1", "front", "a:1")];
-    // What it knows from its former incarnation is no answer to who is there now.
-    let begun = Membership { version: 0, nodes: former.to_vec(), ..Membership::default() };
+fn a_new_owner_without_a_membership_waits_for_one() {
+    let previous = [node("f1", "front", "a:1")];
+    // The stored membership of the previous incarnation does not say who is there now.
+    let restored = Membership { version: 0, nodes: previous.to_vec(), ..Membership::default() };
     assert_eq!(delivery_nodes_to_query(&Membership::default(), &[]), None);
-    assert_eq!(delivery_nodes_to_query(&begun, &former), None);
+    assert_eq!(delivery_nodes_to_query(&restored, &previous), None);
 }
 
 #[test]
-fn delivery_nodes_of_the_former_membership_are_asked_as_well() {
-    let former = [node("f1", "front", "old:1"), node("f2", "front", "b:1"), node("s1", "store", "c:1")];
+fn delivery_nodes_of_the_previous_membership_are_queried_too() {
+    let previous = [node("f1", "front", "old:1"), node("f2", "front", "b:1"), node("s1", "store", "c:1")];
     let nodes = vec![node("f1", "front", "new:1"), node("f3", "front", "d:1"), node("s1", "store", "c:1")];
-    let told = Membership { version: 7, nodes, ..Membership::default() };
-    let asked = delivery_nodes_to_query(&told, &former).expect("it was told");
-    assert_eq!(names(&asked), ["f1", "f3", "f2"]);
-    assert_eq!(asked[0].inner, "new:1", "at the address that is told now");
+    let current = Membership { version: 7, nodes, ..Membership::default() };
+    let queried = delivery_nodes_to_query(&current, &previous).expect("a membership is known");
+    assert_eq!(names(&queried), ["f1", "f3", "f2"]);
+    assert_eq!(queried[0].inner, "new:1", "the current address is used");
 }
 
 #[test]
-fn a_delivery_node_that_was_given_a_message_and_not_asked_is_silent() {
+fn a_delivery_node_with_a_dispatch_that_was_not_queried_is_unresponsive() {
     let answered = set(&["f1", "f2"]);
     assert!(unresponsive_nodes(&answered, ["f1", "f2"], ["f1", ""]).is_empty());
-    assert_eq!(unresponsive_nodes(&answered, ["f1", "f2", "f3"], ["f1"]), set(&["f3"]), "asked in vain");
-    assert_eq!(unresponsive_nodes(&answered, ["f1", "f2"], ["f2", "f9"]), set(&["f9"]), "not known, so not asked");
+    assert_eq!(unresponsive_nodes(&answered, ["f1", "f2", "f3"], ["f1"]), set(&["f3"]), "queried without an answer");
+    assert_eq!(unresponsive_nodes(&answered, ["f1", "f2"], ["f2", "f9"]), set(&["f9"]), "unknown, so not queried");
 }
 
 #[test]
-fn a_membership_is_stored_whole() {
+fn a_membership_is_stored_without_its_removal_history() {
     let nodes = vec![node("f1", "front", "a:1")];
-    let told = Membership { version: 7, since: 5, from: 3, nodes, listed: true, ..Membership::default() };
-    let stored = stored_form(&told);
+    let current = Membership { version: 7, since: 5, from: 3, nodes, listed: true, ..Membership::default() };
+    let stored = stored_form(&current);
     assert_eq!((stored.version, stored.since, stored.from, stored.listed), (7, 0, 0, true));
-    assert_eq!(stored.nodes, told.nodes);
+    assert_eq!(stored.nodes, current.nodes);
 }
