--- a/crates/store/src/takeover.rs
+++ b/crates/store/src/takeover.rs
@@ -27,15 +27,15 @@
 /// membership, and those of the previous incarnation's membership that it does not list. `None`
 /// until this incarnation has received a membership from a leader: an unknown node cannot be
 /// queried, so the owner waits.
-pub fn delivery_nodes_to_query(current: &Membership, former: &[Node]) -> Option<Vec<Node>> {
+pub fn delivery_nodes_to_query(current: &Membership, previous: &[Node]) -> Option<Vec<Node>> {
     if current.version == 0 {
         return None;
     }
-    let deliveries =
+    let delivery_nodes =
         |nodes: &[Node]| -> Vec<Node> { nodes.iter().filter(|n| n.role == DELIVERY_ROLE).cloned().collect() };
-    let mut all = deliveries(&current.nodes);
-    let named: HashSet<String> = all.iter().map(|n| n.name.clone()).collect();
-    all.extend(deliveries(former).into_iter().filter(|n| !named.contains(&n.name)));
+    let mut all = delivery_nodes(&current.nodes);
+    let listed: HashSet<String> = all.iter().map(|n| n.name.clone()).collect();
+    all.extend(delivery_nodes(previous).into_iter().filter(|n| !listed.contains(&n.name)));
     Some(all)
 }
 
@@ -43,9 +43,9 @@
 /// and did not answer, and those to which the log has a dispatch and which were not queried.
 pub fn unresponsive_nodes<'a>(
     answered: &HashSet<String>,
-    asked: impl IntoIterator<Item = &'a str>,
-    given: impl IntoIterator<Item = &'a str>,
+    queried: impl IntoIterator<Item = &'a str>,
+    dispatched_to: impl IntoIterator<Item = &'a str>,
 ) -> HashSet<String> {
-    let all = asked.into_iter().chain(given);
+    let all = queried.into_iter().chain(dispatched_to);
     all.filter(|n| !n.is_empty() && !answered.contains(*n)).map(str::to_owned).collect()
 }
