--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -110,8 +110,8 @@
     attempts_started: HashMap<String, u32>,
     samples: HashMap<(String, String, String), Sample>,
     pub membership: Arc<Membership>,
-    by_service: HashMap<String, Vec<Processor>>,
-    /// By service, the indexes into `by_service` in this owner's search order.
+    processors_by_service: HashMap<String, Vec<Processor>>,
+    /// By service, the indexes into `processors_by_service` in this owner's search order.
     search_order: HashMap<String, Vec<usize>>,
     /// Indexes of the delivery nodes in the current membership, by zone.
     fronts_by_zone: HashMap<String, Vec<usize>>,
@@ -143,12 +143,12 @@
 impl UnresponsiveNodes {
     /// Until when, by the partition's time, an attempt at a pending message may still run at a
     /// node that did not answer; 0 if it cannot. `sent`: time of the last dispatch in the log;
-    /// `taken`: when this owner took over; `longest`: the longest that an attempt may run.
+    /// `taken_over`: when this owner took over; `longest`: the longest that an attempt may run.
     /// The former owner's last dispatches may be missing from every log that survived. Only
     /// sequenced messages are held back for that.
-    pub fn hold_until(self, sequenced: bool, sent: u64, taken: u64, longest: u64) -> u64 {
+    pub fn hold_until(self, sequenced: bool, sent: u64, taken_over: u64, longest: u64) -> u64 {
         match (self.last_recipient, self.any && sequenced) {
-            (_, true) => sent.max(taken) + longest,
+            (_, true) => sent.max(taken_over) + longest,
             (true, _) => sent + longest,
             _ => 0,
         }
@@ -184,7 +184,7 @@
             attempts_started: HashMap::new(),
             samples: HashMap::new(),
             membership: Arc::default(),
-            by_service: HashMap::new(),
+            processors_by_service: HashMap::new(),
             search_order: HashMap::new(),
             fronts_by_zone: HashMap::new(),
             region_zones: HashSet::new(),
@@ -214,12 +214,12 @@
             return;
         }
         self.membership = membership.clone();
-        self.by_service.clear();
+        self.processors_by_service.clear();
         for processor in &membership.processors {
-            self.by_service.entry(processor.service.clone()).or_default().push(processor.clone());
+            self.processors_by_service.entry(processor.service.clone()).or_default().push(processor.clone());
         }
         self.search_order = self
-            .by_service
+            .processors_by_service
             .iter()
             .map(|(service, processors)| {
                 let mut order: Vec<usize> = (0..processors.len()).collect();
@@ -237,33 +237,33 @@
                 self.region_zones.insert(n.zone.clone());
             }
         }
-        let there: HashSet<&str> = membership.processors.iter().map(|processor| processor.id.as_str()).collect();
-        self.processors.retain(|id, s| s.in_flight > 0 || s.failures > 0 || there.contains(id.as_str()));
+        let listed: HashSet<&str> = membership.processors.iter().map(|processor| processor.id.as_str()).collect();
+        self.processors.retain(|id, s| s.in_flight > 0 || s.failures > 0 || listed.contains(id.as_str()));
     }
 
     /// Removes all messages of a partition that this node no longer owns.
     pub fn remove_partition(&mut self, partition: u32) {
-        for q in self.ready.values_mut() {
-            q.retain(|(_, k)| k.0 != partition);
+        for queue in self.ready.values_mut() {
+            queue.retain(|(_, key)| key.0 != partition);
         }
-        self.queued.retain(|k, _| k.0 != partition);
-        self.delayed.retain(|Reverse((_, k))| k.0 != partition);
-        self.backoffs.retain(|k, _| k.0 != partition);
-        self.callbacks.retain(|(_, k)| k.0 != partition);
-        let gone: Vec<Key> = self.in_flight.keys().filter(|k| k.0 == partition).copied().collect();
-        for k in gone {
-            self.end_attempt(k);
+        self.queued.retain(|key, _| key.0 != partition);
+        self.delayed.retain(|Reverse((_, key))| key.0 != partition);
+        self.backoffs.retain(|key, _| key.0 != partition);
+        self.callbacks.retain(|(_, key)| key.0 != partition);
+        let removed: Vec<Key> = self.in_flight.keys().filter(|key| key.0 == partition).copied().collect();
+        for key in removed {
+            self.end_attempt(key);
         }
     }
 
-    /// Adds a message to a ready queue, ordered by `age`, the time since when it is due. Does
+    /// Adds a message to a ready queue, ordered by `due_since`, the time at which it became due. Does
     /// nothing if the message is queued or in flight already.
-    pub fn enqueue(&mut self, key: Key, queue: QueueId, age: u64) {
+    pub fn enqueue(&mut self, key: Key, queue: QueueId, due_since: u64) {
         if self.in_flight.contains_key(&key) || self.queued.contains_key(&key) {
             return;
         }
-        self.queued.insert(key, (queue.clone(), age));
-        self.ready.entry(queue).or_default().insert((age, key));
+        self.queued.insert(key, (queue.clone(), due_since));
+        self.ready.entry(queue).or_default().insert((due_since, key));
     }
 
     /// Delays a message until `at`.
@@ -292,7 +292,7 @@
     }
 
     pub fn ready_queues(&self) -> Vec<QueueId> {
-        self.ready.iter().filter(|(_, q)| !q.is_empty()).map(|(queue, _)| queue.clone()).collect()
+        self.ready.iter().filter(|(_, messages)| !messages.is_empty()).map(|(queue, _)| queue.clone()).collect()
     }
 
     /// The next message of a queue to be sent: the oldest of those that can still start within
@@ -304,18 +304,18 @@
         let oldest = queue.first()?;
         // A quarter of the target is reserved for the transfer: a message that is just in time
         // here starts too late at the processor, and under load that would apply to all of them.
-        let line = now.saturating_sub(target_start_ms * 3 / 4);
-        if oldest.0 >= line || self.attempts_started.get(&id.service).copied().unwrap_or(0) % 4 == 3 {
+        let earliest_in_time = now.saturating_sub(target_start_ms * 3 / 4);
+        if oldest.0 >= earliest_in_time || self.attempts_started.get(&id.service).copied().unwrap_or(0) % 4 == 3 {
             return Some(oldest.1);
         }
-        Some(queue.range((line, (0, 0))..).next().unwrap_or(oldest).1)
+        Some(queue.range((earliest_in_time, (0, 0))..).next().unwrap_or(oldest).1)
     }
 
     pub fn remove_queued(&mut self, key: Key) {
-        if let Some((queue, age)) = self.queued.remove(&key)
-            && let Some(q) = self.ready.get_mut(&queue)
+        if let Some((queue, due_since)) = self.queued.remove(&key)
+            && let Some(queue) = self.ready.get_mut(&queue)
         {
-            q.remove(&(age, key));
+            queue.remove(&(due_since, key));
         }
     }
 
--- a/crates/store/src/scheduler/choice.rs
+++ b/crates/store/src/scheduler/choice.rs
@@ -11,12 +11,12 @@
     /// The target for the next message of a service with these homes, if one has spare capacity.
     pub fn choose(&mut self, service: &Service, homes: &Homes, now: u64) -> Option<Target> {
         if let Some(address) = &service.endpoint {
-            let (load, s) = self.load(&service.name, now);
+            let (load, state) = self.load(&service.name, now);
             // Only half of the connection limit is used: after a take-over, connections of
             // another delivery node may still be open.
-            let half = f64::from(service.conn_limit / 2) * self.share(&service.name);
-            let room = if s.failures > 0 { 1 } else { (half as u32).max(1) };
-            if now < s.backoff_until || s.in_flight >= room || load >= service.conn_limit {
+            let half_limit = f64::from(service.conn_limit / 2) * self.share(&service.name);
+            let room = if state.failures > 0 { 1 } else { (half_limit as u32).max(1) };
+            if now < state.backoff_until || state.in_flight >= room || load >= service.conn_limit {
                 return None;
             }
             let (front, inner) = self.front(&service.name, &self.zone, homes)?;
@@ -45,7 +45,7 @@
                 }
             };
         }
-        let processors = self.by_service.get(&service.name)?;
+        let processors = self.processors_by_service.get(&service.name)?;
         let is_on_trial = rollout.is_some_and(|r| r.state == "running" && r.share < 1000);
         let mut found = if is_on_trial && wants_new == Some(true) {
             // During a rollout the few attempts at the new revision are concentrated on as few
@@ -61,9 +61,9 @@
             })
         };
         if found.is_none() && wants_new == Some(true) && is_on_trial {
-            let is_former = |processor: &Processor| processor.revision != target;
+            let is_previous_revision = |processor: &Processor| processor.revision != target;
             found = self.least_loaded(service, processors, now, |processor| {
-                is_former(processor) && self.may_run(processor, homes)
+                is_previous_revision(processor) && self.may_run(processor, homes)
             });
         }
         let processor = found?.clone();
@@ -146,8 +146,8 @@
         let is_fitting =
             |processor: &&Processor| self.is_usable(processor) && !self.may_be_cold(processor) && fits(processor);
         processors.iter().filter(is_fitting).find(|processor| {
-            let (load, s) = self.load(&processor.id, now);
-            now >= s.backoff_until && load < if s.failures > 0 { 1 } else { processor.capacity.max(1) }
+            let (load, state) = self.load(&processor.id, now);
+            now >= state.backoff_until && load < if state.failures > 0 { 1 } else { processor.capacity.max(1) }
         })
     }
 
@@ -166,21 +166,22 @@
         for processor in order.filter(|processor| {
             self.is_usable(processor) && fits(processor) && self.has_cold_token(service, processor, now)
         }) {
-            let (load, s) = self.load(&processor.id, now);
+            let (load, state) = self.load(&processor.id, now);
             let capacity = processor.capacity.max(1);
-            let room = if s.failures > 0 { 1 } else { capacity };
-            if now < s.backoff_until || load >= room {
+            let room = if state.failures > 0 { 1 } else { capacity };
+            if now < state.backoff_until || load >= room {
                 continue;
             }
-            let far = if processor.zone == self.zone {
+            let distance_penalty = if processor.zone == self.zone {
                 0.0
             } else if self.region_zones.contains(&processor.zone) {
                 0.5
             } else {
                 1.0
             };
-            let score =
-                f64::from(load) / f64::from(capacity) + far + if self.may_be_cold(processor) { 0.5 } else { 0.0 };
+            let score = f64::from(load) / f64::from(capacity)
+                + distance_penalty
+                + if self.may_be_cold(processor) { 0.5 } else { 0.0 };
             if best.is_none_or(|(b, _)| score < b) {
                 best = Some((score, processor));
             }
