--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -85,9 +85,9 @@
         let known = self.session.known();
         let mut guard = self.shared.lock().unwrap();
         let state = &mut *guard;
-        let mut wake = now + self.quiet_fraction_ms(20.0);
+        let mut next_run = now + self.quiet_fraction_ms(20.0);
         if !self.has_lease(state) {
-            return wake;
+            return next_run;
         }
         state.scheduler.update_view(&known.membership, &known.assignments);
         let owned: Vec<u32> = state
@@ -96,8 +96,8 @@
             .filter(|replica| replica.role == ReplicaRole::Owner)
             .map(|replica| replica.id)
             .collect();
-        for p in owned {
-            self.owner_time(state, p);
+        for partition in owned {
+            self.owner_time(state, partition);
         }
         while let Some(key) = state.scheduler.pop_due(now) {
             self.schedule(state, key, now);
@@ -111,7 +111,7 @@
             let backoff = state.scheduler.next_backoff(key);
             state.scheduler.delay_until(key, now + backoff);
         }
-        let mut touched = HashSet::new();
+        let mut dispatched_partitions = HashSet::new();
         for queue in state.scheduler.ready_queues() {
             let name = &queue.service;
             let Some(service) = known.configuration.service(name) else { continue };
@@ -131,32 +131,33 @@
                     .get(&key.0)
                     .and_then(|replica| replica.state.pieces.get(&key.1))
                     .map(|message| &message.item);
-                if item.and_then(|item| QueueId::of(&known.configuration, item)).is_none_or(|now| now != queue) {
+                if item.and_then(|item| QueueId::of(&known.configuration, item)).is_none_or(|current| current != queue)
+                {
                     // Its route was changed or removed since it was queued: rescheduled.
                     state.scheduler.remove_queued(key);
                     state.scheduler.delay_until(key, now + self.quiet_fraction_ms(400.0));
                     continue;
                 }
-                let Some(choice) = state.scheduler.choose(service, &queue.homes, now) else { break };
+                let Some(target) = state.scheduler.choose(service, &queue.homes, now) else { break };
                 if let Err(at) = state.scheduler.take_token(service, now) {
-                    wake = wake.min(at);
+                    next_run = next_run.min(at);
                     break;
                 }
-                if !self.dispatch(state, &known, key, service, choice, now) {
+                if !self.dispatch(state, &known, key, service, target, now) {
                     state.scheduler.remove_queued(key);
                     state.scheduler.delay_until(key, now + self.quiet_fraction_ms(100.0));
                 }
-                touched.insert(key.0);
+                dispatched_partitions.insert(key.0);
             }
         }
-        for p in touched {
-            self.step(state, p, |replica, now, effects| replica.flush(now, effects));
+        for partition in dispatched_partitions {
+            self.step(state, partition, |replica, now, effects| replica.flush(now, effects));
         }
         self.send_callbacks(state, now);
         if let Some(due) = state.scheduler.next_due() {
-            wake = wake.min(due.max(now + 1));
+            next_run = next_run.min(due.max(now + 1));
         }
-        wake
+        next_run
     }
 
     /// Appends the dispatch record of a message and sends the attempt to the delivery node.
@@ -168,7 +169,7 @@
         known: &agent::ClusterView,
         key: Key,
         service: &config::Service,
-        choice: Target,
+        target: Target,
         now: u64,
     ) -> bool {
         let at_ms = self.owner_time(state, key.0);
@@ -184,7 +185,7 @@
         item.notify_url.clear();
         item.operation = None;
         let dispatch =
-            DispatchRecord { position: key.1, processor: choice.processor.clone(), node: choice.front.clone() };
+            DispatchRecord { position: key.1, processor: target.processor.clone(), node: target.front.clone() };
         let record = Record { at_ms, entry: Some(Entry::Dispatch(dispatch)) };
         let mut effects = Vec::new();
         let Some(attempt) = replica.append(&record, now, &mut effects) else { return false };
@@ -193,51 +194,51 @@
             attempt,
             term: replica.term,
             position: key.1,
-            address: choice.address.clone(),
-            processor: choice.target.clone(),
+            address: target.address.clone(),
+            processor: target.target.clone(),
             timeout_ms: timeout as u32,
             item,
             conn_limit: service.conn_limit,
             revoked: false,
         };
         // A delivery node waits 5 % longer than the route's time-out.
-        state.scheduler.start_attempt(key, &choice, route, now + timeout * 21 / 20 + self.quiet_fraction_ms(8.0));
+        state.scheduler.start_attempt(key, &target, route, now + timeout * 21 / 20 + self.quiet_fraction_ms(8.0));
         state.scheduler.set_attempt_number(key, run.term, attempt);
         self.execute_effects(state, key.0, effects);
         telemetry::count("dispatched");
         let this = self.clone();
-        tokio::spawn(async move { this.send_attempt(run, choice).await });
+        tokio::spawn(async move { this.send_attempt(run, target).await });
         true
     }
 
     /// Sends one attempt to the delivery node. If it is certain that the node does not have it,
     /// the message is scheduled again.
-    pub(super) async fn send_attempt(self: Arc<Self>, run: Run, choice: Target) {
+    pub(super) async fn send_attempt(self: Arc<Self>, run: Run, target: Target) {
         let key = (run.partition, run.position);
         let (term, attempt) = (run.term, run.attempt);
         let wait = Duration::from_millis(self.quiet_fraction_ms(8.0));
-        let client = self.rpc_clients.to(&choice.front_inner);
+        let client = self.rpc_clients.to(&target.front_inner);
         let (item, address, processor) = (Item::default(), String::new(), String::new());
         let revoke = Run { revoked: true, item, address, processor, ..run };
         match client.call(Body::Run(run), wait).await {
-            Ok(Body::RunAck(a)) if a.taken => return,
+            Ok(Body::RunAck(ack)) if ack.taken => return,
             Ok(_) | Err(ExecutionOutcome::NotRun) => {}
             Err(_) => {
                 // The node may have the attempt, or may still receive it over a connection that
                 // was replaced. Revoking it tells whether the node has taken it.
-                let mut clear = false;
+                let mut is_revoked = false;
                 for _ in 0..3 {
                     match client.call(Body::Run(revoke.clone()), wait).await {
-                        Ok(Body::RunAck(a)) if a.taken => return,
+                        Ok(Body::RunAck(ack)) if ack.taken => return,
                         Ok(_) => {
-                            clear = true;
+                            is_revoked = true;
                             break;
                         }
                         Err(ExecutionOutcome::NotRun) => tokio::time::sleep(wait / 8).await,
                         Err(_) => {}
                     }
                 }
-                if !clear && !rpc::refuses(&choice.front_inner, wait).await {
+                if !is_revoked && !rpc::refuses(&target.front_inner, wait).await {
                     // No answer still: the attempt becomes overdue once it must have ended.
                     return;
                 }
@@ -255,7 +256,7 @@
 
     /// Sends the call-backs that are due.
     pub(super) fn send_callbacks(self: &Arc<Self>, state: &mut StoreState, now: u64) {
-        let mut left = std::collections::VecDeque::new();
+        let mut remaining = std::collections::VecDeque::new();
         while let Some((at, key)) = state.scheduler.callbacks.pop_front() {
             let message = state
                 .replicas
@@ -270,7 +271,7 @@
                 .with_known(|known| known.configuration.homes_on(&message.item.route, &message.item.tenant));
             let front = state.scheduler.any_front(&host, &homes.unwrap_or_default());
             let (Some((_, inner)), true, true) = (front, at <= now, busy < 8) else {
-                left.push_back((at, key));
+                remaining.push_back((at, key));
                 continue;
             };
             let callback = Notify {
@@ -284,7 +285,7 @@
             tokio::spawn(async move {
                 let wait = Duration::from_millis((this.settings.constraints.notify_s * 400.0) as u64);
                 let status = match this.rpc_clients.to(&inner).call(Body::Notify(callback), wait).await {
-                    Ok(Body::NotifyAck(a)) => a.status,
+                    Ok(Body::NotifyAck(ack)) => ack.status,
                     _ => 0,
                 };
                 let mut state = this.shared.lock().unwrap();
@@ -308,6 +309,6 @@
                 this.wake.notify_one();
             });
         }
-        state.scheduler.callbacks = left;
+        state.scheduler.callbacks = remaining;
     }
 }
