--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -8,45 +8,46 @@
         let known = self.session.known();
         let mut guard = self.shared.lock().unwrap();
         let state = &mut *guard;
-        let compact = (self.settings.limits.disk_mb as usize) << 20;
-        let parts = state.replicas.len().max(1);
+        let disk_bytes = (self.settings.limits.disk_mb as usize) << 20;
+        let replica_count = state.replicas.len().max(1);
         let lag = self.disk_lag();
-        for p in state.replicas.keys().copied().collect::<Vec<_>>() {
-            let owns = state.replicas[&p].role == ReplicaRole::Owner;
-            if owns && !self.is_timed(state, p) {
+        for partition in state.replicas.keys().copied().collect::<Vec<_>>() {
+            let owns = state.replicas[&partition].role == ReplicaRole::Owner;
+            if owns && !self.is_timed(state, partition) {
                 continue;
             }
-            let time = if owns { self.owner_time(state, p) } else { 0 };
-            let replica = &state.replicas[&p];
+            let time = if owns { self.owner_time(state, partition) } else { 0 };
+            let replica = &state.replicas[&partition];
             if replica.open() {
                 let mut records = Vec::new();
                 if known.configuration.revision > replica.state.revision {
                     records.push(Entry::Routes(replica.state.since_known(routes(&known.configuration))));
                 }
-                if let Some(n) = state.called_back.remove(&p).filter(|n| !n.is_empty()) {
-                    records.push(Entry::Notified(Positions { positions: n }));
+                if let Some(positions) = state.called_back.remove(&partition).filter(|positions| !positions.is_empty())
+                {
+                    records.push(Entry::Notified(Positions { positions }));
                 }
                 if rounds.is_multiple_of(10) {
-                    let over = self.ended_messages(replica, &known.configuration, time);
-                    if !over.is_empty() {
-                        records.push(Entry::Expire(Positions { positions: over }));
+                    let ended = self.ended_messages(replica, &known.configuration, time);
+                    if !ended.is_empty() {
+                        records.push(Entry::Expire(Positions { positions: ended }));
                     }
                 }
                 let now = self.now();
                 let mut effects = Vec::new();
-                if let Some(replica) = state.replicas.get_mut(&p) {
-                    for e in records {
-                        replica.append(&Record { at_ms: time, entry: Some(e) }, now, &mut effects);
+                if let Some(replica) = state.replicas.get_mut(&partition) {
+                    for entry in records {
+                        replica.append(&Record { at_ms: time, entry: Some(entry) }, now, &mut effects);
                     }
                 }
-                self.execute_effects(state, p, effects);
+                self.execute_effects(state, partition, effects);
             }
-            self.step(state, p, |replica, now, effects| {
+            self.step(state, partition, |replica, now, effects| {
                 replica.tick(now, time, effects);
-                replica.compact(compact / 6 / parts, effects);
+                replica.compact(disk_bytes / 6 / replica_count, effects);
             });
             // Return to the preferred owner, by an ordinary planned move.
-            let replica = &state.replicas[&p];
+            let replica = &state.replicas[&partition];
             if replica.role == ReplicaRole::Owner && !replica.is_moving() && !state.leaving && rounds.is_multiple_of(10)
             {
                 let preferred = replica.replicas.first().cloned().unwrap_or_default();
@@ -55,14 +56,16 @@
                 };
                 // With a slow disk here, move to a node whose disk keeps up until this one
                 // recovers. This node's copy counts until another one has replaced it.
-                let to = match lag {
+                let successor = match lag {
                     1 => replica.candidates().into_iter().find(keeps_up),
                     _ => Some(preferred).filter(|node| {
                         *node != self.settings.node && replica.in_sync().contains(node) && keeps_up(node)
                     }),
                 };
-                if let Some(to) = to {
-                    self.step(state, p, |replica, now, effects| replica.start_move(&to, false, time, now, effects));
+                if let Some(successor) = successor {
+                    self.step(state, partition, |replica, now, effects| {
+                        replica.start_move(&successor, false, time, now, effects)
+                    });
                 }
             }
         }
@@ -130,30 +133,32 @@
     /// the in-sync sets.
     pub(super) async fn shut_down(self: Arc<Self>) {
         let limit = Duration::from_millis((self.settings.constraints.grace_s * 800.0) as u64);
-        let begun = Instant::now();
+        let started_at = Instant::now();
         self.session.set_leaving();
         self.shared.lock().unwrap().leaving = true;
-        while begun.elapsed() < limit {
+        while started_at.elapsed() < limit {
             let mut owned = 0;
             {
                 let mut guard = self.shared.lock().unwrap();
                 let state = &mut *guard;
                 let known = self.session.known();
-                for p in state.replicas.keys().copied().collect::<Vec<_>>() {
-                    let replica = &state.replicas[&p];
+                for partition in state.replicas.keys().copied().collect::<Vec<_>>() {
+                    let replica = &state.replicas[&partition];
                     if replica.role != ReplicaRole::Owner {
                         continue;
                     }
-                    let to =
+                    let successor =
                         replica.candidates().into_iter().find(|c| known.node(c, "store").is_some_and(|n| !n.leaving));
-                    if to.is_some() || replica.is_moving() || self.is_copy_due(&known, p) {
+                    if successor.is_some() || replica.is_moving() || self.is_copy_due(&known, partition) {
                         owned += 1;
                     }
-                    if let (Some(to), false) = (to, replica.is_moving())
-                        && self.is_timed(state, p)
+                    if let (Some(successor), false) = (successor, replica.is_moving())
+                        && self.is_timed(state, partition)
                     {
-                        let time = self.owner_time(state, p);
-                        self.step(state, p, |replica, now, effects| replica.start_move(&to, true, time, now, effects));
+                        let time = self.owner_time(state, partition);
+                        self.step(state, partition, |replica, now, effects| {
+                            replica.start_move(&successor, true, time, now, effects)
+                        });
                     }
                 }
             }
@@ -169,7 +174,7 @@
             let state = self.shared.lock().unwrap();
             state.replicas.keys().filter(|p| self.is_copy_due(&known, **p)).count()
         };
-        while due() > 0 && begun.elapsed() < limit {
+        while due() > 0 && started_at.elapsed() < limit {
             tokio::time::sleep(Duration::from_millis(self.quiet_fraction_ms(200.0))).await;
         }
         let left = due();
@@ -186,22 +191,22 @@
                 .map(|replica| replica.id)
                 .collect()
         };
-        let mut asks = Vec::new();
-        for p in followed {
-            let o = Order {
-                partition: p,
+        let mut orders = Vec::new();
+        for partition in followed {
+            let order = Order {
+                partition,
                 term: 0,
                 node: self.settings.node.clone(),
                 kind: OrderKind::Drop as i32,
                 ..Order::default()
             };
-            asks.push(tokio::spawn(self.clone().send_order(p, o)));
+            orders.push(tokio::spawn(self.clone().send_order(partition, order)));
         }
-        for a in asks {
-            let _ = a.await;
+        for order in orders {
+            let _ = order.await;
         }
         // Leaves time for the last messages to other nodes to be sent.
         tokio::time::sleep(Duration::from_millis(self.quiet_fraction_ms(40.0))).await;
-        telemetry::change!("left after {} ms", begun.elapsed().as_millis());
+        telemetry::change!("left after {} ms", started_at.elapsed().as_millis());
     }
 }
