--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -9,12 +9,12 @@
         self: &Arc<Self>,
         state: &mut StoreState,
         partition: u32,
-        f: impl FnOnce(&mut PartitionReplica, u64, &mut Vec<Effect>),
+        step: impl FnOnce(&mut PartitionReplica, u64, &mut Vec<Effect>),
     ) {
         let now = self.now();
         let mut effects = Vec::new();
         if let Some(replica) = state.replicas.get_mut(&partition) {
-            f(replica, now, &mut effects);
+            step(replica, now, &mut effects);
         }
         self.execute_effects(state, partition, effects);
     }
@@ -36,18 +36,18 @@
     }
 
     pub(super) fn execute_effects(self: &Arc<Self>, state: &mut StoreState, partition: u32, effects: Vec<Effect>) {
-        for e in effects {
-            match e {
+        for effect in effects {
+            match effect {
                 Effect::Persist { del, put, meta, snapshot, term, end } => {
                     let mut ops = Vec::with_capacity(put.len() + 1);
-                    if let Some((a, b)) = del {
-                        ops.push(Op::DelRange(key(b'l', partition, a), key(b'l', partition, b)));
+                    if let Some((start, end)) = del {
+                        ops.push(Op::DelRange(key(b'l', partition, start), key(b'l', partition, end)));
                     }
-                    ops.extend(
-                        put.into_iter().map(|(n, e)| Op::Put(key(b'l', partition, n), e.encode_to_vec().into())),
-                    );
-                    if let Some(s) = snapshot {
-                        ops.push(Op::Put(key(b's', partition, 0), s));
+                    ops.extend(put.into_iter().map(|(position, entry)| {
+                        Op::Put(key(b'l', partition, position), entry.encode_to_vec().into())
+                    }));
+                    if let Some(snapshot) = snapshot {
+                        ops.push(Op::Put(key(b's', partition, 0), snapshot));
                     }
                     ops.push(Op::Put(key(b'm', partition, 0), meta.encode_to_vec().into()));
                     let synced = self.synced.clone();
@@ -56,9 +56,9 @@
                     });
                 }
                 Effect::Send(node, body) => {
-                    let addr = self.session.with_known(|known| known.node(&node, "store").map(|n| n.inner.clone()));
-                    if let Some(a) = addr {
-                        self.rpc_clients.to(&a).send(body);
+                    let address = self.session.with_known(|known| known.node(&node, "store").map(|n| n.inner.clone()));
+                    if let Some(address) = address {
+                        self.rpc_clients.to(&address).send(body);
                     }
                 }
                 Effect::Folded(changes) => self.handle_changes(state, partition, changes),
@@ -130,8 +130,8 @@
     /// Handles newly applied records: answers waiting requests and schedules messages.
     pub(super) fn handle_changes(self: &Arc<Self>, state: &mut StoreState, partition: u32, changes: Vec<Change>) {
         let now = self.now();
-        for c in changes {
-            match c {
+        for change in changes {
+            match change {
                 Change::Accepted(pos) => {
                     telemetry::count("accepted");
                     state.uncommitted_accepts.remove((partition, pos));
@@ -182,9 +182,9 @@
         for key in done {
             for waiter in state.waiters.remove(&key).into_iter().flatten() {
                 match waiter {
-                    Waiter::Report(p) => p.send(Body::ReportAck(ReportAck { kept: true })),
+                    Waiter::Report(responder) => responder.send(Body::ReportAck(ReportAck { kept: true })),
                     // Accepts with a decided outcome were answered above.
-                    Waiter::Accept(p) => p.send(accepted(AcceptOutcome::Unclear, 0, "")),
+                    Waiter::Accept(responder) => responder.send(accepted(AcceptOutcome::Unclear, 0, "")),
                 }
             }
         }
