--- a/crates/store/src/service/lease.rs
+++ b/crates/store/src/service/lease.rs
@@ -23,10 +23,10 @@
     /// Renews the lease with the leader for as long as the process runs.
     pub(super) async fn keep_lease(self: Arc<Self>) {
         let period = Duration::from_millis(self.settings.lease_ms() / 3);
-        let mut turn = 0usize;
-        let mut granted_first = None;
+        let mut attempt = 0usize;
+        let mut first_granted_at = None;
         loop {
-            let asked = self.now();
+            let asked_at = self.now();
             let lag = self.disk_lag();
             let (samples, claims) = {
                 let mut state = self.shared.lock().unwrap();
@@ -45,9 +45,9 @@
             };
             let leader = self.session.with_known(|known| known.leader.clone());
             let seeds = self.session.order_control_nodes();
-            let addr = if leader.is_empty() { seeds[turn % seeds.len()].clone() } else { leader.clone() };
-            turn += 1;
-            let l = Lease {
+            let address = if leader.is_empty() { seeds[attempt % seeds.len()].clone() } else { leader.clone() };
+            attempt += 1;
+            let request = Lease {
                 node: self.session.me(),
                 samples,
                 claims: claims.clone(),
@@ -56,40 +56,42 @@
                 time_ms: self.cluster_time().unwrap_or(0),
                 reached_ms: self.reached_ms(),
             };
-            match self.rpc_clients.to(&addr).call(Body::Lease(l), period * 2).await {
-                Ok(Body::LeaseAck(a)) if a.granted => {
-                    self.session.take(&ViewUpdate { leader: addr, ..ViewUpdate::default() });
+            match self.rpc_clients.to(&address).call(Body::Lease(request), period * 2).await {
+                Ok(Body::LeaseAck(ack)) if ack.granted => {
+                    self.session.take(&ViewUpdate { leader: address, ..ViewUpdate::default() });
                     {
                         let mut guard = self.shared.lock().unwrap();
                         // Partitions that have a newer owner are given up before the lease takes
                         // effect.
-                        for c in &a.outdated {
-                            self.step(&mut guard, c.id, |replica, now, effects| replica.assignments(c, now, effects));
+                        for partition in &ack.outdated {
+                            self.step(&mut guard, partition.id, |replica, now, effects| {
+                                replica.assignments(partition, now, effects)
+                            });
                         }
-                        guard.lagging_nodes = a.lagging;
+                        guard.lagging_nodes = ack.lagging;
                     }
-                    let timed = {
+                    let has_time = {
                         let mut carried = self.cluster_time.lock().unwrap();
-                        carried.told(a.time_ms, asked, self.now());
-                        carried.time(asked).is_some()
+                        carried.told(ack.time_ms, asked_at, self.now());
+                        carried.time(asked_at).is_some()
                     };
-                    let granted_first = *granted_first.get_or_insert(asked);
-                    if !timed && asked < granted_first + self.quiet_fraction_ms(8.0) {
+                    let first_granted_at = *first_granted_at.get_or_insert(asked_at);
+                    if !has_time && asked_at < first_granted_at + self.quiet_fraction_ms(8.0) {
                         // The cluster time is known soon. Acting as owner without it would leave
                         // the time since a partition's last record uncounted.
                         tokio::time::sleep(period / 6).await;
                         continue;
                     }
-                    self.extend_lease(asked + a.ttl_ms as u64);
+                    self.extend_lease(asked_at + ack.ttl_ms as u64);
                     self.sleep_while_disk_lag(lag, period).await;
                 }
-                Ok(Body::LeaseAck(a)) if a.newer_incarnation > 0 => {
-                    self.begin_incarnation(a.newer_incarnation);
+                Ok(Body::LeaseAck(ack)) if ack.newer_incarnation > 0 => {
+                    self.begin_incarnation(ack.newer_incarnation);
                     tokio::time::sleep(period / 60).await;
                 }
-                Ok(Body::LeaseAck(a)) => {
-                    if !a.leader.is_empty() {
-                        self.session.take(&ViewUpdate { leader: a.leader, ..ViewUpdate::default() });
+                Ok(Body::LeaseAck(ack)) => {
+                    if !ack.leader.is_empty() {
+                        self.session.take(&ViewUpdate { leader: ack.leader, ..ViewUpdate::default() });
                     } else {
                         // This node knows no leader; the other control nodes may.
                         self.ask_leader(&seeds, &claims, period).await;
@@ -135,8 +137,8 @@
         self.wal.write(vec![Op::Put(key(b'd', 0, 0), identity.encode_to_vec().into())], || ());
         let mut guard = self.shared.lock().unwrap();
         guard.lease_until = 0;
-        for p in guard.replicas.keys().copied().collect::<Vec<_>>() {
-            self.step(&mut guard, p, |replica, _, effects| replica.relive(incarnation, effects));
+        for partition in guard.replicas.keys().copied().collect::<Vec<_>>() {
+            self.step(&mut guard, partition, |replica, _, effects| replica.relive(incarnation, effects));
         }
     }
 
@@ -144,13 +146,13 @@
     /// good, and the lease would expire while they are asked one after the other.
     pub(super) async fn ask_leader(&self, control_nodes: &[String], claims: &[Holding], wait: Duration) {
         let (tx, mut rx) = tokio::sync::mpsc::channel(control_nodes.len().max(1));
-        for f in control_nodes {
+        for address in control_nodes {
             let (node, claims, clock_ms) = (self.session.me(), claims.to_vec(), telemetry::wall_ms());
-            let ask = Lease { node, claims, lag: self.disk_lag(), clock_ms, ..Lease::default() };
-            let (end, name, tx) = (self.rpc_clients.to(f), f.clone(), tx.clone());
+            let request = Lease { node, claims, lag: self.disk_lag(), clock_ms, ..Lease::default() };
+            let (client, asked, tx) = (self.rpc_clients.to(address), address.clone(), tx.clone());
             tokio::spawn(async move {
-                if let Ok(Body::LeaseAck(a)) = end.call(Body::Lease(ask), wait).await {
-                    let leader = if a.granted { name } else { a.leader };
+                if let Ok(Body::LeaseAck(ack)) = client.call(Body::Lease(request), wait).await {
+                    let leader = if ack.granted { asked } else { ack.leader };
                     if !leader.is_empty() {
                         let _ = tx.send(leader).await;
                     }
