--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -7,23 +7,23 @@
         let mut guard = self.shared.lock().unwrap();
         let state = &mut *guard;
         match body {
-            Body::Accept(a) => self.accept(state, a, responder, None),
+            Body::Accept(request) => self.accept(state, request, responder, None),
             Body::Place(request) => self.place(state, request, responder),
-            Body::Report(r) => self.report(state, r, responder),
-            Body::Lookup(l) => {
-                let found = self.lookup(state, &l);
+            Body::Report(report) => self.report(state, report, responder),
+            Body::Lookup(request) => {
+                let found = self.lookup(state, &request);
                 responder.send(Body::Found(found));
             }
-            Body::Entries(e) => {
-                self.ensure_replica(state, e.partition);
-                self.step(state, e.partition, |replica, now, effects| replica.entries(e, now, effects));
+            Body::Entries(entries) => {
+                self.ensure_replica(state, entries.partition);
+                self.step(state, entries.partition, |replica, now, effects| replica.entries(entries, now, effects));
             }
-            Body::EntriesAck(a) => {
-                self.step(state, a.partition, |replica, now, effects| replica.acked(a, now, effects))
+            Body::EntriesAck(ack) => {
+                self.step(state, ack.partition, |replica, now, effects| replica.acked(ack, now, effects))
             }
-            Body::Chunk(c) => {
-                self.ensure_replica(state, c.partition);
-                self.step(state, c.partition, |replica, now, effects| replica.chunk(c, now, effects));
+            Body::Chunk(chunk) => {
+                self.ensure_replica(state, chunk.partition);
+                self.step(state, chunk.partition, |replica, now, effects| replica.chunk(chunk, now, effects));
             }
             Body::Status(_) => responder.send(Body::StatusAck(StatusAck { json: self.status(state) })),
             _ => {}
@@ -35,72 +35,78 @@
     pub(super) fn accept(
         self: &Arc<Self>,
         state: &mut StoreState,
-        a: Accept,
+        request: Accept,
         responder: Responder,
         waited_until_ms: Option<u64>,
     ) {
-        let p = a.partition;
-        if let Some(owner) = self.other_owner(state, p) {
+        let partition = request.partition;
+        if let Some(owner) = self.other_owner(state, partition) {
             responder.send(accepted(AcceptOutcome::Elsewhere, 0, &owner));
             return;
         }
-        if let Some(key) = state.uncommitted_accepts.find(p, &a.item) {
+        if let Some(key) = state.uncommitted_accepts.find(partition, &request.item) {
             state.waiters.entry(key).or_default().push(Waiter::Accept(responder));
             return;
         }
-        let at_ms = self.owner_time(state, p);
-        let replica = &state.replicas[&p];
-        if let Some(pos) = replica.state.find_repeat(&a.item, at_ms) {
+        let at_ms = self.owner_time(state, partition);
+        let replica = &state.replicas[&partition];
+        if let Some(pos) = replica.state.find_repeat(&request.item, at_ms) {
             telemetry::count("accepts_repeated");
             responder.send(accepted(AcceptOutcome::Taken, pos, ""));
             return;
         }
-        if let Some(refusal) = replica.state.refusal_by_placement(&a.item, a.generations, at_ms) {
+        if let Some(refusal) = replica.state.refusal_by_placement(&request.item, request.generations, at_ms) {
             responder.send(match refusal {
                 PlacementRefusal::Operation(placement) => placed_elsewhere(&placement),
                 PlacementRefusal::Order => accepted(AcceptOutcome::OrderPlacedElsewhere, 0, ""),
             });
             return;
         }
-        if !self.can_judge(&a.item) {
+        if !self.can_judge(&request.item) {
             telemetry::count("accepts_not_judged");
             responder.send(accepted(AcceptOutcome::Elsewhere, 0, ""));
             return;
         }
-        if !self.may_keep(&a.item) {
+        if !self.may_keep(&request.item) {
             telemetry::count("refused_not_at_home");
             responder.send(accepted(AcceptOutcome::Elsewhere, 0, ""));
             return;
         }
-        if !replica.state.has_route(&a.item.route) {
+        if !replica.state.has_route(&request.item.route) {
             // If the partition's routes are at least as new as the front's, the route does not
             // exist; otherwise they may still be updated.
-            let outcome =
-                if replica.state.revision >= a.revision { AcceptOutcome::NoRoute } else { AcceptOutcome::Elsewhere };
+            let outcome = if replica.state.revision >= request.revision {
+                AcceptOutcome::NoRoute
+            } else {
+                AcceptOutcome::Elsewhere
+            };
             responder.send(accepted(outcome, 0, ""));
             return;
         }
-        let rank =
-            self.session.with_known(|known| known.configuration.route_named(&a.item.route).map_or(0, |c| c.rank));
-        if !self.has_room(state, rank, a.item.body.len()) {
+        let rank = self
+            .session
+            .with_known(|known| known.configuration.route_named(&request.item.route).map_or(0, |route| route.rank));
+        if !self.has_room(state, rank, request.item.body.len()) {
             telemetry::count("refused_full");
             responder.send(accepted(AcceptOutcome::Full, 0, ""));
             return;
         }
-        let Some((a, responder)) = self.admit_by_quota(state, a, responder, waited_until_ms) else { return };
-        let identity = AcceptIdentity::of(&a.item);
-        let generations = (a.generations != PlacementGenerations::default()).then_some(a.generations);
-        let accept = AcceptRecord { item: a.item, delay_ms: a.delay_ms, generations };
+        let Some((request, responder)) = self.admit_by_quota(state, request, responder, waited_until_ms) else {
+            return;
+        };
+        let identity = AcceptIdentity::of(&request.item);
+        let generations = (request.generations != PlacementGenerations::default()).then_some(request.generations);
+        let accept = AcceptRecord { item: request.item, delay_ms: request.delay_ms, generations };
         let record = Record { at_ms, entry: Some(Entry::Accept(accept)) };
         let mut effects = Vec::new();
-        match self.append(state, p, &record, &mut effects) {
+        match self.append(state, partition, &record, &mut effects) {
             Some(pos) => {
-                state.uncommitted_accepts.insert((p, pos), identity);
-                state.waiters.entry((p, pos)).or_default().push(Waiter::Accept(responder));
+                state.uncommitted_accepts.insert((partition, pos), identity);
+                state.waiters.entry((partition, pos)).or_default().push(Waiter::Accept(responder));
             }
             None => responder.send(accepted(AcceptOutcome::Elsewhere, 0, "")),
         }
-        self.execute_effects(state, p, effects);
+        self.execute_effects(state, partition, effects);
     }
 
     /// `None` if this node owns the partition and can append to it now. Otherwise the owner to
@@ -138,8 +144,8 @@
         homes.is_none_or(|homes| homes.allows(&self.settings.region))
     }
 
-    pub(super) fn report(self: &Arc<Self>, state: &mut StoreState, r: Report, responder: Responder) {
-        let key = (r.partition, r.position);
+    pub(super) fn report(self: &Arc<Self>, state: &mut StoreState, report: Report, responder: Responder) {
+        let key = (report.partition, report.position);
         let now = self.now();
         if state.replicas.get(&key.0).is_none_or(|replica| !replica.takes_reports()) || !self.is_timed(state, key.0) {
             responder.send(Body::ReportAck(ReportAck { kept: false }));
@@ -147,22 +153,23 @@
         }
         // A report of an attempt that was given up. It says nothing about the attempt that is in
         // flight now.
-        let outdated = state.scheduler.is_outdated(key, r.term, r.attempt);
-        if outdated {
+        let is_outdated = state.scheduler.is_outdated(key, report.term, report.attempt);
+        if is_outdated {
             telemetry::count("reports_outdated");
-        } else if let Some(f) = state.scheduler.end_attempt(key) {
-            state.scheduler.record_report(&f, &r, now);
+        } else if let Some(in_flight) = state.scheduler.end_attempt(key) {
+            state.scheduler.record_report(&in_flight, &report, now);
         }
         let replica = &state.replicas[&key.0];
         let message = replica.state.pieces.get(&key.1);
-        let pending = message.is_some_and(|message| message.state == MessageState::Pending);
-        if r.outcome == Outcome::Done as i32
-            && message
-                .is_some_and(|message| message.state == MessageState::Settled && message.result_tag != r.result_tag)
+        let is_pending = message.is_some_and(|message| message.state == MessageState::Pending);
+        if report.outcome == Outcome::Done as i32
+            && message.is_some_and(|message| {
+                message.state == MessageState::Settled && message.result_tag != report.result_tag
+            })
         {
             telemetry::count("repeats_after_success");
         }
-        let outcome = Outcome::try_from(r.outcome).unwrap_or(Outcome::Unknown);
+        let outcome = Outcome::try_from(report.outcome).unwrap_or(Outcome::Unknown);
         telemetry::count(match outcome {
             Outcome::Done => "runs_done",
             Outcome::Failed => "runs_failed",
@@ -170,7 +177,7 @@
             Outcome::NotRun => "runs_not_run",
             _ => "runs_unknown",
         });
-        if !pending {
+        if !is_pending {
             responder.send(Body::ReportAck(ReportAck { kept: true }));
             self.wake.notify_one();
             return;
@@ -178,29 +185,33 @@
         match outcome {
             // Reported to a former owner already. Another record of it would change nothing, and
             // the message would wait forever for an effect.
-            Outcome::Failed if replica.state.is_failure_counted(key.1, r.attempt) => {
+            Outcome::Failed if replica.state.is_failure_counted(key.1, report.attempt) => {
                 telemetry::count("failures_told_again");
                 responder.send(Body::ReportAck(ReportAck { kept: true }));
-                if !outdated {
+                if !is_outdated {
                     let backoff = state.scheduler.next_backoff(key);
                     state.scheduler.delay_until(key, now + backoff);
                 }
             }
             Outcome::Done | Outcome::Failed | Outcome::Never => {
                 if let Some((attempt, at)) = state.uncommitted_reports.get(&key).copied()
-                    && attempt == r.attempt
+                    && attempt == report.attempt
                 {
                     // A repeated report whose record is not committed yet.
                     state.waiters.entry((key.0, at)).or_default().push(Waiter::Report(responder));
                     return;
                 }
-                let answer =
-                    AnswerRecord { position: key.1, outcome: r.outcome, result_tag: r.result_tag, attempt: r.attempt };
+                let answer = AnswerRecord {
+                    position: key.1,
+                    outcome: report.outcome,
+                    result_tag: report.result_tag,
+                    attempt: report.attempt,
+                };
                 let record = Record { at_ms: self.owner_time(state, key.0), entry: Some(Entry::Answer(answer)) };
                 let mut effects = Vec::new();
                 match self.append(state, key.0, &record, &mut effects) {
                     Some(pos) => {
-                        state.uncommitted_reports.insert(key, (r.attempt, pos));
+                        state.uncommitted_reports.insert(key, (report.attempt, pos));
                         state.waiters.entry((key.0, pos)).or_default().push(Waiter::Report(responder));
                     }
                     // The delivery node reports it again; until then the message stays scheduled.
@@ -212,10 +223,10 @@
                 }
                 self.execute_effects(state, key.0, effects);
             }
-            _ if outdated => responder.send(Body::ReportAck(ReportAck { kept: true })),
+            _ if is_outdated => responder.send(Body::ReportAck(ReportAck { kept: true })),
             _ => {
                 responder.send(Body::ReportAck(ReportAck { kept: true }));
-                match delivery_failure(outcome, r.status).again(self.retry_safety(state, key)) {
+                match delivery_failure(outcome, report.status).again(self.retry_safety(state, key)) {
                     RetryOwner::Owner => self.schedule(state, key, now),
                     _ => {
                         let backoff = state.scheduler.next_backoff(key);
@@ -235,7 +246,7 @@
         let dedupes = self.session.with_known(|s| {
             let route = s.configuration.route_named(&message.item.route);
             let service = route.and_then(|c| s.configuration.service(agent::service_of(c, &message.item.id)));
-            service.is_some_and(|p| p.dedupes)
+            service.is_some_and(|service| service.dedupes)
         });
         match (dedupes, message.item.order_key.is_empty()) {
             (true, _) => RetrySafety::Dedupes,
@@ -260,26 +271,26 @@
 
     /// Looks a message up. Only the owner tells the state of a message, or that there is none.
     /// Bodies may come from any replica, as committed bytes are the same in each copy.
-    pub(super) fn lookup(&self, state: &StoreState, l: &Lookup) -> Found {
-        let Some(replica) = state.replicas.get(&l.partition) else { return Found::default() };
+    pub(super) fn lookup(&self, state: &StoreState, request: &Lookup) -> Found {
+        let Some(replica) = state.replicas.get(&request.partition) else { return Found::default() };
         let is_owner = replica.role == ReplicaRole::Owner && self.has_lease(state);
-        let by_id = || replica.state.find(&l.tenant, &l.id).or_else(|| replica.state.find("", &l.id));
-        let position = if l.id.is_empty() { Some(l.position) } else { by_id() };
+        let by_id = || replica.state.find(&request.tenant, &request.id).or_else(|| replica.state.find("", &request.id));
+        let position = if request.id.is_empty() { Some(request.position) } else { by_id() };
         match position.and_then(|position| replica.state.pieces.get(&position)) {
-            Some(message) if is_owner || l.body => self.found(message, l, is_owner),
+            Some(message) if is_owner || request.body => self.found(message, request, is_owner),
             None if is_owner && replica.caught_up() => Found { owner: true, ..Found::default() },
             _ => Found::default(),
         }
     }
 
-    fn found(&self, message: &partition::Message, l: &Lookup, is_owner: bool) -> Found {
-        let withheld = l.body && !message.item.body.is_empty() && !self.may_be_sent_to(l, &message.item);
+    fn found(&self, message: &partition::Message, request: &Lookup, is_owner: bool) -> Found {
+        let withheld = request.body && !message.item.body.is_empty() && !self.may_be_sent_to(request, &message.item);
         Found {
             owner: is_owner,
             known: true,
             state: message.state.word().into(),
             result_tag: message.result_tag.clone(),
-            body: if l.body && !withheld { message.item.body.clone() } else { Bytes::new() },
+            body: if request.body && !withheld { message.item.body.clone() } else { Bytes::new() },
             host: message.item.host.clone(),
             tenant: message.item.tenant.clone(),
             withheld,
