--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -97,7 +97,7 @@
 
     /// Whether an owner may append records with its time. False in a process that has not had a
     /// lease yet, as the cluster time comes with the lease.
-    fn is_timed(&self, state: &StoreState, partition: u32) -> bool {
+    fn has_owner_time(&self, state: &StoreState, partition: u32) -> bool {
         let runs = state.replicas.get(&partition).is_some_and(|replica| replica.time(self.now()).is_some());
         runs || state.lease_until > 0 || self.cluster_time().is_some()
     }
@@ -318,7 +318,7 @@
     let worker = service.clone();
     tokio::spawn(async move {
         loop {
-            let wake = worker.pump();
+            let wake = worker.dispatch_ready();
             let pause = wake.saturating_sub(worker.now()).max(1);
             tokio::select! {
                 _ = worker.wake.notified() => {}
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -80,7 +80,7 @@
     }
 
     /// Dispatches all messages that can be sent now. Returns when to run again at the latest.
-    pub(super) fn pump(self: &Arc<Self>) -> u64 {
+    pub(super) fn dispatch_ready(self: &Arc<Self>) -> u64 {
         let now = self.now();
         let known = self.session.known();
         let mut guard = self.shared.lock().unwrap();
--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -13,7 +13,7 @@
         let lag = self.disk_lag();
         for partition in state.replicas.keys().copied().collect::<Vec<_>>() {
             let owns = state.replicas[&partition].role == ReplicaRole::Owner;
-            if owns && !self.is_timed(state, partition) {
+            if owns && !self.has_owner_time(state, partition) {
                 continue;
             }
             let time = if owns { self.owner_time(state, partition) } else { 0 };
@@ -153,7 +153,7 @@
                         owned += 1;
                     }
                     if let (Some(successor), false) = (successor, replica.is_moving())
-                        && self.is_timed(state, partition)
+                        && self.has_owner_time(state, partition)
                     {
                         let time = self.owner_time(state, partition);
                         self.step(state, partition, |replica, now, effects| {
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -62,7 +62,7 @@
             });
             return;
         }
-        if !self.can_judge(&request.item) {
+        if !self.knows_rules_for(&request.item) {
             telemetry::count("accepts_not_judged");
             responder.send(accepted(AcceptOutcome::Elsewhere, 0, ""));
             return;
@@ -130,7 +130,7 @@
     /// Whether the configuration known here has the tenant and the route of a message, and so the
     /// rules that apply to it. A process that has just started may own a partition before it has
     /// a configuration, and another route may have got the route's name.
-    fn can_judge(&self, item: &Item) -> bool {
+    fn knows_rules_for(&self, item: &Item) -> bool {
         self.session.with_known(|known| {
             let configuration = &known.configuration;
             let knows_tenant = item.tenant.is_empty() || configuration.tenant_named(&item.tenant).is_some();
@@ -147,7 +147,9 @@
     pub(super) fn report(self: &Arc<Self>, state: &mut StoreState, report: Report, responder: Responder) {
         let key = (report.partition, report.position);
         let now = self.now();
-        if state.replicas.get(&key.0).is_none_or(|replica| !replica.takes_reports()) || !self.is_timed(state, key.0) {
+        if state.replicas.get(&key.0).is_none_or(|replica| !replica.takes_reports())
+            || !self.has_owner_time(state, key.0)
+        {
             responder.send(Body::ReportAck(ReportAck { kept: false }));
             return;
         }
