--- a/crates/store/src/service/quota.rs
+++ b/crates/store/src/service/quota.rs
@@ -27,7 +27,7 @@
     sequence: u64,
     introduces: bool,
     /// The leader that the last request was sent to, and when.
-    asked: (String, u64),
+    last_request: (String, u64),
     /// Whether the leader is owed a request: since its last answer a partition was counted or a
     /// request was sent.
     is_request_due: bool,
@@ -48,7 +48,7 @@
         waiting: Vec::new(),
         sequence: 0,
         introduces: true,
-        asked: (String::new(), 0),
+        last_request: (String::new(), 0),
         is_request_due: true,
         counted_terms: HashMap::new(),
     })
@@ -129,13 +129,13 @@
         let state = &mut *guard;
         self.count_recent_accepts(state);
         let quota = state.quota.as_mut()?;
-        let (asked, asked_ms) = &quota.asked;
-        let is_due = asked != leader || now >= asked_ms + self.settings.quota_lease_ms() / 2;
-        if !is_due && !quota.is_request_due && !quota.stock.has_news() {
+        let (last_leader, last_ms) = &quota.last_request;
+        let is_renewal_due = last_leader != leader || now >= last_ms + self.settings.quota_lease_ms() / 2;
+        if !is_renewal_due && !quota.is_request_due && !quota.stock.has_news() {
             return None;
         }
-        quota.introduces |= asked != leader;
-        quota.asked = (leader.to_owned(), now);
+        quota.introduces |= last_leader != leader;
+        quota.last_request = (leader.to_owned(), now);
         quota.is_request_due = true;
         quota.sequence += 1;
         let reports = quota.stock.reports(quota.introduces, now);
@@ -152,7 +152,7 @@
     }
 
     async fn ask_quota(&self, leader: &str, request: QuotaRequest, reports: &[QuotaReport], wait: Duration) {
-        let asked_ms = self.now();
+        let sent_ms = self.now();
         let incarnation = request.node.incarnation;
         let answer = self.rpc_clients.to(leader).call(Body::QuotaRequest(request), wait).await;
         let mut state = self.shared.lock().unwrap();
@@ -166,7 +166,7 @@
                     retry_ms: grant.retry_ms,
                 };
                 let answers: Vec<QuotaAnswer> = response.grants.iter().map(answer).collect();
-                quota.stock.answered(reports, &answers, asked_ms, self.now());
+                quota.stock.answered(reports, &answers, sent_ms, self.now());
             }
             Ok(Body::QuotaResponse(response)) if response.introduce => quota.introduces = true,
             _ => telemetry::count("quota_requests_missed"),
