--- a/crates/store/src/service/membership.rs
+++ b/crates/store/src/service/membership.rs
@@ -13,8 +13,8 @@
         let mut views = self.session.subscribe();
         let mut stored = 0;
         loop {
-            let told = views.wait_for(|view| view.membership.version > stored).await;
-            let Ok(membership) = told.map(|view| view.membership.clone()) else { return };
+            let update = views.wait_for(|view| view.membership.version > stored).await;
+            let Ok(membership) = update.map(|view| view.membership.clone()) else { return };
             stored = membership.version;
             let record = stored_form(&membership).encode_to_vec();
             self.wal.write(vec![Op::Put(key(b'r', 0, 0), record.into())], || ());
--- a/crates/store/src/takeover.rs
+++ b/crates/store/src/takeover.rs
@@ -1,4 +1,4 @@
-//! Decides which delivery nodes a new owner queries and which count as silent. Between a restart
+//! Decides which delivery nodes a new owner queries and which count as unresponsive. Between a restart
 //! and the first membership from the leader, a store node relies on the membership that it stored
 //! in its previous incarnation. Pure functions; `service` does the I/O.
 //!
