--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -256,8 +256,8 @@
         }
     }
 
-    /// Adds a message to a ready queue, ordered by `due_since`, the time at which it became due. Does
-    /// nothing if the message is queued or in flight already.
+    /// Adds a message to a ready queue, ordered by `due_since`, the time at which it became due.
+    /// Does nothing if the message is queued or in flight already.
     pub fn enqueue(&mut self, key: Key, queue: QueueId, due_since: u64) {
         if self.in_flight.contains_key(&key) || self.queued.contains_key(&key) {
             return;
--- a/crates/store/src/service/quota.rs
+++ b/crates/store/src/service/quota.rs
@@ -4,7 +4,8 @@
 use super::*;
 use balance::{PartitionSpending, QuotaAnswer, QuotaReport, QuotaStock, QuotaTake, QuotaTerms};
 
-/// `quietMs` divided by this is the longest time between two checks for a request.
+/// `quietMs` divided by this is the longest time between two checks whether a request to the leader
+/// is due, and the time limit of a request.
 const REQUEST_PERIOD_DIVISOR: f64 = 40.0;
 /// `quietMs` divided by this is the longest time that a message waits for a token.
 const TOKEN_WAIT_DIVISOR: f64 = 50.0;
--- a/crates/store/src/takeover.rs
+++ b/crates/store/src/takeover.rs
@@ -1,6 +1,6 @@
-//! Decides which delivery nodes a new owner queries and which count as unresponsive. Between a restart
-//! and the first membership from the leader, a store node relies on the membership that it stored
-//! in its previous incarnation. Pure functions; `service` does the I/O.
+//! Decides which delivery nodes a new owner queries and which count as unresponsive. Between a
+//! restart and the first membership from the leader, a store node relies on the membership that it
+//! stored in its previous incarnation. Pure functions; `service` does the I/O.
 //!
 //! Invariant: a new owner queries every delivery node that may hold an attempt, and a missing
 //! answer never counts as "holds nothing".
