--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 
 /// Identifies a message by its partition and its position in that partition's log.
-pub type Key = (u32, u64);
+pub type MessageKey = (u32, u64);
 
 #[derive(Clone, Debug)]
 pub struct InFlight {
@@ -94,10 +94,10 @@
     zone: String,
     region: String,
     timing: SchedulerTiming,
-    ready: HashMap<QueueId, BTreeSet<(u64, Key)>>,
-    queued: HashMap<Key, (QueueId, u64)>,
-    delayed: BinaryHeap<Reverse<(u64, Key)>>,
-    pub in_flight: HashMap<Key, InFlight>,
+    ready: HashMap<QueueId, BTreeSet<(u64, MessageKey)>>,
+    queued: HashMap<MessageKey, (QueueId, u64)>,
+    delayed: BinaryHeap<Reverse<(u64, MessageKey)>>,
+    pub in_flight: HashMap<MessageKey, InFlight>,
     processors: HashMap<String, ProcessorState>,
     buckets: HashMap<String, TokenBucket>,
     /// The fraction of a rate-limited service that this owner may use, where it is below 1.
@@ -105,7 +105,7 @@
     /// By service, the accumulated rollout share; 1 pays for one attempt at the new revision.
     rollout_credits: HashMap<String, f64>,
     /// By message, the number of back-offs so far.
-    backoffs: HashMap<Key, u32>,
+    backoffs: HashMap<MessageKey, u32>,
     /// By service, the number of attempts started.
     attempts_started: HashMap<String, u32>,
     samples: HashMap<(String, String, String), Sample>,
@@ -125,7 +125,7 @@
     zone_uses: HashMap<String, ZoneUse>,
     pub assignments: Arc<Assignments>,
     /// Call-backs to send, each with the earliest time to send it.
-    pub callbacks: VecDeque<(u64, Key)>,
+    pub callbacks: VecDeque<(u64, MessageKey)>,
     /// The number of call-backs in flight, by host.
     pub callbacks_in_flight: HashMap<String, u32>,
 }
@@ -250,7 +250,7 @@
         self.delayed.retain(|Reverse((_, key))| key.0 != partition);
         self.backoffs.retain(|key, _| key.0 != partition);
         self.callbacks.retain(|(_, key)| key.0 != partition);
-        let removed: Vec<Key> = self.in_flight.keys().filter(|key| key.0 == partition).copied().collect();
+        let removed: Vec<MessageKey> = self.in_flight.keys().filter(|key| key.0 == partition).copied().collect();
         for key in removed {
             self.end_attempt(key);
         }
@@ -258,7 +258,7 @@
 
     /// Adds a message to a ready queue, ordered by `due_since`, the time at which it became due.
     /// Does nothing if the message is queued or in flight already.
-    pub fn enqueue(&mut self, key: Key, queue: QueueId, due_since: u64) {
+    pub fn enqueue(&mut self, key: MessageKey, queue: QueueId, due_since: u64) {
         if self.in_flight.contains_key(&key) || self.queued.contains_key(&key) {
             return;
         }
@@ -267,12 +267,12 @@
     }
 
     /// Delays a message until `at`.
-    pub fn delay_until(&mut self, key: Key, at: u64) {
+    pub fn delay_until(&mut self, key: MessageKey, at: u64) {
         self.delayed.push(Reverse((at, key)));
     }
 
     /// Removes and returns the first delayed message whose time has come.
-    pub fn pop_due(&mut self, now: u64) -> Option<Key> {
+    pub fn pop_due(&mut self, now: u64) -> Option<MessageKey> {
         let Reverse((at, key)) = self.delayed.peek()?;
         if *at > now {
             return None;
@@ -287,7 +287,7 @@
     }
 
     /// The messages in the ready queues, each with its queue.
-    pub fn queued_messages(&self) -> impl Iterator<Item = (Key, &QueueId)> {
+    pub fn queued_messages(&self) -> impl Iterator<Item = (MessageKey, &QueueId)> {
         self.queued.iter().map(|(key, (queue, _))| (*key, queue))
     }
 
@@ -299,7 +299,7 @@
     /// the service's target start time. For a message that is late already, waiting longer does
     /// not change that it missed the target; such messages get every fourth attempt, and all
     /// capacity that the others leave.
-    pub fn next_ready(&self, id: &QueueId, now: u64, target_start_ms: u64) -> Option<Key> {
+    pub fn next_ready(&self, id: &QueueId, now: u64, target_start_ms: u64) -> Option<MessageKey> {
         let queue = self.ready.get(id)?;
         let oldest = queue.first()?;
         // A quarter of the target is reserved for the transfer: a message that is just in time
@@ -311,7 +311,7 @@
         Some(queue.range((earliest_in_time, (0, 0))..).next().unwrap_or(oldest).1)
     }
 
-    pub fn remove_queued(&mut self, key: Key) {
+    pub fn remove_queued(&mut self, key: MessageKey) {
         if let Some((queue, due_since)) = self.queued.remove(&key)
             && let Some(queue) = self.ready.get_mut(&queue)
         {
@@ -325,7 +325,7 @@
     }
 
     /// All messages that are queued, delayed or in flight.
-    pub fn scheduled(&self) -> HashSet<Key> {
+    pub fn scheduled(&self) -> HashSet<MessageKey> {
         let delayed = self.delayed.iter().map(|Reverse((_, key))| *key);
         self.queued.keys().chain(self.in_flight.keys()).copied().chain(delayed).collect()
     }
@@ -335,14 +335,14 @@
     }
 
     /// Removes a message that has ended or is kept elsewhere now.
-    pub fn remove(&mut self, key: Key) {
+    pub fn remove(&mut self, key: MessageKey) {
         self.remove_queued(key);
         self.backoffs.remove(&key);
         self.end_attempt(key);
     }
 
     /// Counts a fruitless attempt and returns how long to back off before the next one.
-    pub fn next_backoff(&mut self, key: Key) -> u64 {
+    pub fn next_backoff(&mut self, key: MessageKey) -> u64 {
         let n = self.backoffs.entry(key).or_insert(0);
         *n += 1;
         (self.timing.initial_backoff_ms << (*n - 1).min(6)).min(self.timing.max_backoff_ms)
@@ -406,7 +406,7 @@
     }
 
     /// Records that an attempt at a message has started.
-    pub fn start_attempt(&mut self, key: Key, choice: &Target, route: &Route, deadline: u64) {
+    pub fn start_attempt(&mut self, key: MessageKey, choice: &Target, route: &Route, deadline: u64) {
         self.remove_queued(key);
         let started = self.attempts_started.entry(choice.service.clone()).or_insert(0);
         *started = started.wrapping_add(1);
@@ -429,7 +429,7 @@
     /// Records an attempt that a former owner started and a delivery node still holds.
     pub fn adopt_attempt(
         &mut self,
-        key: Key,
+        key: MessageKey,
         route: &Route,
         service: &str,
         processor: &str,
@@ -454,20 +454,20 @@
     }
 
     /// Sets the term and number of the attempt in flight.
-    pub fn set_attempt_number(&mut self, key: Key, term: u64, attempt: u64) {
+    pub fn set_attempt_number(&mut self, key: MessageKey, term: u64, attempt: u64) {
         if let Some(f) = self.in_flight.get_mut(&key) {
             f.attempt = (term, attempt);
         }
     }
 
     /// Whether the attempt in flight is a different one from the given one.
-    pub fn is_outdated(&self, key: Key, term: u64, attempt: u64) -> bool {
+    pub fn is_outdated(&self, key: MessageKey, term: u64, attempt: u64) -> bool {
         let differs = |a: u64, b: u64| a != 0 && b != 0 && a != b;
         self.in_flight.get(&key).is_some_and(|f| differs(f.attempt.0, term) || differs(f.attempt.1, attempt))
     }
 
     /// Removes an attempt that has ended from those in flight.
-    pub fn end_attempt(&mut self, key: Key) -> Option<InFlight> {
+    pub fn end_attempt(&mut self, key: MessageKey) -> Option<InFlight> {
         let f = self.in_flight.remove(&key)?;
         if let Some(s) = self.processors.get_mut(&f.processor) {
             s.in_flight = s.in_flight.saturating_sub(1);
@@ -476,7 +476,7 @@
     }
 
     /// The messages whose attempts should have been reported by now.
-    pub fn overdue(&self, now: u64) -> Vec<Key> {
+    pub fn overdue(&self, now: u64) -> Vec<MessageKey> {
         self.in_flight.iter().filter(|(_, f)| now >= f.deadline).map(|(k, _)| *k).collect()
     }
 
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -39,11 +39,11 @@
     replicas: BTreeMap<u32, PartitionReplica>,
     scheduler: DeliveryScheduler,
     /// Requests to answer once a log position is committed.
-    waiters: HashMap<Key, Vec<Waiter>>,
+    waiters: HashMap<MessageKey, Vec<Waiter>>,
     uncommitted_accepts: UncommittedAccepts,
     /// By message, the report that is appended but not committed yet: its attempt and its log
     /// position.
-    uncommitted_reports: HashMap<Key, (u64, u64)>,
+    uncommitted_reports: HashMap<MessageKey, (u64, u64)>,
     /// Partitions taken over for which the query of the delivery nodes is not finished, with the
     /// end of the log at the take-over. Messages after it cannot have been dispatched by a previous
     /// owner.
--- a/crates/store/src/service/audit.rs
+++ b/crates/store/src/service/audit.rs
@@ -16,7 +16,7 @@
     answering: u64,
     taken_over: u64,
     /// Neither scheduled nor waiting for a known reason: violations of the invariant.
-    unscheduled: Vec<Key>,
+    unscheduled: Vec<MessageKey>,
 }
 
 impl StoreService {
@@ -67,7 +67,7 @@
         waiting
     }
 
-    fn check_scheduled(&self, unscheduled: &[Key]) {
+    fn check_scheduled(&self, unscheduled: &[MessageKey]) {
         let first = unscheduled.first();
         telemetry::check_invariant(
             "invariant_message_unscheduled",
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -4,7 +4,7 @@
 
 impl StoreService {
     /// Schedules a message that may run: queues it if it is due, else delays it until then.
-    pub(super) fn schedule(&self, state: &mut StoreState, key: Key, now: u64) {
+    pub(super) fn schedule(&self, state: &mut StoreState, key: MessageKey, now: u64) {
         let Some(replica) = state.replicas.get(&key.0) else { return };
         let Some(message) = replica.state.pieces.get(&key.1) else { return };
         if replica.role != ReplicaRole::Owner
@@ -45,11 +45,12 @@
             return;
         }
         state.queued_by_revision = configuration.revision;
-        let is_elsewhere = |(key, queue): &(Key, &QueueId)| {
+        let is_elsewhere = |(key, queue): &(MessageKey, &QueueId)| {
             let message = state.replicas.get(&key.0).and_then(|replica| replica.state.pieces.get(&key.1));
             message.and_then(|message| QueueId::of(configuration, &message.item)).as_ref() != Some(*queue)
         };
-        let moved: Vec<Key> = state.scheduler.queued_messages().filter(is_elsewhere).map(|(key, _)| key).collect();
+        let moved: Vec<MessageKey> =
+            state.scheduler.queued_messages().filter(is_elsewhere).map(|(key, _)| key).collect();
         telemetry::add("messages_queued_anew", moved.len() as u64);
         for key in moved {
             state.scheduler.remove_queued(key);
@@ -167,7 +168,7 @@
         self: &Arc<Self>,
         state: &mut StoreState,
         known: &agent::ClusterView,
-        key: Key,
+        key: MessageKey,
         service: &config::Service,
         target: Target,
         now: u64,
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -99,7 +99,7 @@
         state.uncommitted_reports.retain(|key, _| key.0 != partition);
         state.uncommitted_accepts.remove_partition(partition);
         state.called_back.remove(&partition);
-        let waited_for: Vec<Key> = state.waiters.keys().filter(|key| key.0 == partition).copied().collect();
+        let waited_for: Vec<MessageKey> = state.waiters.keys().filter(|key| key.0 == partition).copied().collect();
         for key in waited_for {
             for waiter in state.waiters.remove(&key).into_iter().flatten() {
                 match waiter {
@@ -177,7 +177,7 @@
         }
         // A report waits until the position of its own record is committed.
         let commit = state.replicas[&partition].commit;
-        let done: Vec<Key> =
+        let done: Vec<MessageKey> =
             state.waiters.keys().filter(|key| key.0 == partition && key.1 <= commit).copied().collect();
         for key in done {
             for waiter in state.waiters.remove(&key).into_iter().flatten() {
@@ -192,7 +192,7 @@
     }
 
     /// Answers the requests that wait for the accept or the placement recorded at `key`.
-    fn answer_waiters(&self, state: &mut StoreState, key: Key, answer: &Body) {
+    fn answer_waiters(&self, state: &mut StoreState, key: MessageKey, answer: &Body) {
         for waiter in state.waiters.remove(&key).into_iter().flatten() {
             if let Waiter::Accept(responder) = waiter {
                 responder.send(answer.clone());
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -241,7 +241,7 @@
     }
 
     /// Whether and how a message may be sent again.
-    pub(super) fn retry_safety(&self, state: &StoreState, key: Key) -> RetrySafety {
+    pub(super) fn retry_safety(&self, state: &StoreState, key: MessageKey) -> RetrySafety {
         let Some(message) = state.replicas.get(&key.0).and_then(|replica| replica.state.pieces.get(&key.1)) else {
             return RetrySafety::Message;
         };
--- a/crates/store/src/uncommitted.rs
+++ b/crates/store/src/uncommitted.rs
@@ -2,7 +2,7 @@
 //! instead of being appended a second time. It only covers this process; repeats of what a former
 //! owner appended are detected when the record is applied.
 
-use crate::scheduler::Key;
+use crate::scheduler::MessageKey;
 use rpc::messages::{Item, OperationId};
 use std::collections::HashMap;
 
@@ -23,7 +23,7 @@
 /// The uncommitted accepts of all partitions.
 #[derive(Debug, Default)]
 pub struct UncommittedAccepts {
-    identities: HashMap<Key, AcceptIdentity>,
+    identities: HashMap<MessageKey, AcceptIdentity>,
     /// Log positions by partition, tenant and id.
     ids: HashMap<(u32, String, String), u64>,
     operations: HashMap<(u32, OperationId), u64>,
@@ -31,19 +31,19 @@
 
 impl UncommittedAccepts {
     /// The uncommitted accept that this message is a retry of.
-    pub fn find(&self, partition: u32, item: &Item) -> Option<Key> {
+    pub fn find(&self, partition: u32, item: &Item) -> Option<MessageKey> {
         let by_id = self.ids.get(&(partition, item.tenant.clone(), item.id.clone()));
         let by_operation = || self.find_operation(partition, item.operation?);
         by_id.map(|position| (partition, *position)).or_else(by_operation)
     }
 
     /// The uncommitted accept with the given operation.
-    pub fn find_operation(&self, partition: u32, operation: OperationId) -> Option<Key> {
+    pub fn find_operation(&self, partition: u32, operation: OperationId) -> Option<MessageKey> {
         self.operations.get(&(partition, operation)).map(|position| (partition, *position))
     }
 
     /// Adds an accept that was appended.
-    pub fn insert(&mut self, key: Key, identity: AcceptIdentity) {
+    pub fn insert(&mut self, key: MessageKey, identity: AcceptIdentity) {
         let (partition, position) = key;
         self.ids.insert((partition, identity.tenant.clone(), identity.id.clone()), position);
         if let Some(operation) = identity.operation {
@@ -53,7 +53,7 @@
     }
 
     /// Removes an accept that was committed, as a new message or as a repeat of one.
-    pub fn remove(&mut self, key: Key) {
+    pub fn remove(&mut self, key: MessageKey) {
         let Some(identity) = self.identities.remove(&key) else { return };
         self.ids.remove(&(key.0, identity.tenant, identity.id));
         if let Some(operation) = identity.operation {
@@ -63,7 +63,7 @@
 
     /// Removes all accepts of a partition that this node no longer owns.
     pub fn remove_partition(&mut self, partition: u32) {
-        let gone: Vec<Key> = self.identities.keys().filter(|key| key.0 == partition).copied().collect();
+        let gone: Vec<MessageKey> = self.identities.keys().filter(|key| key.0 == partition).copied().collect();
         for key in gone {
             self.remove(key);
         }
