--- a/crates/store/src/scheduler.rs
+++ b/crates/store/src/scheduler.rs
@@ -229,16 +229,16 @@
             .collect();
         self.fronts_by_zone.clear();
         self.region_zones.clear();
-        for (at, n) in membership.nodes.iter().enumerate() {
-            if n.role == "front" && !n.leaving {
-                self.fronts_by_zone.entry(n.zone.clone()).or_default().push(at);
+        for (index, node) in membership.nodes.iter().enumerate() {
+            if node.role == "front" && !node.leaving {
+                self.fronts_by_zone.entry(node.zone.clone()).or_default().push(index);
             }
-            if n.region == self.region {
-                self.region_zones.insert(n.zone.clone());
+            if node.region == self.region {
+                self.region_zones.insert(node.zone.clone());
             }
         }
         let listed: HashSet<&str> = membership.processors.iter().map(|processor| processor.id.as_str()).collect();
-        self.processors.retain(|id, s| s.in_flight > 0 || s.failures > 0 || listed.contains(id.as_str()));
+        self.processors.retain(|id, state| state.in_flight > 0 || state.failures > 0 || listed.contains(id.as_str()));
     }
 
     /// Removes all messages of a partition that this node no longer owns.
@@ -369,16 +369,16 @@
         }
         let flow_per_s = service.flow_per_s * self.share(&service.name);
         // Starts empty: another owner may have spent the burst allowance just before.
-        let b = self.buckets.entry(service.name.clone()).or_insert(TokenBucket { tokens: 0.0, refilled_at: now });
+        let bucket = self.buckets.entry(service.name.clone()).or_insert(TokenBucket { tokens: 0.0, refilled_at: now });
         let rate = flow_per_s / 1000.0;
         // The burst allowance is a tenth of a second's worth of tokens.
-        b.tokens = (b.tokens + (now - b.refilled_at) as f64 * rate).min((flow_per_s / 10.0).max(1.0));
-        b.refilled_at = now;
-        if b.tokens >= 1.0 {
-            b.tokens -= 1.0;
+        bucket.tokens = (bucket.tokens + (now - bucket.refilled_at) as f64 * rate).min((flow_per_s / 10.0).max(1.0));
+        bucket.refilled_at = now;
+        if bucket.tokens >= 1.0 {
+            bucket.tokens -= 1.0;
             Ok(())
         } else {
-            Err(now + ((1.0 - b.tokens) / rate).ceil() as u64)
+            Err(now + ((1.0 - bucket.tokens) / rate).ceil() as u64)
         }
     }
 
@@ -386,9 +386,10 @@
     fn load(&self, id: &str, now: u64) -> (u32, &ProcessorState) {
         static NONE: ProcessorState =
             ProcessorState { in_flight: 0, other_load: 0, load_reported_at: 0, failures: 0, backoff_until: 0 };
-        let s = self.processors.get(id).unwrap_or(&NONE);
-        let other_load = if now < s.load_reported_at + self.timing.load_report_ttl_ms { s.other_load } else { 0 };
-        (s.in_flight + other_load, s)
+        let state = self.processors.get(id).unwrap_or(&NONE);
+        let other_load =
+            if now < state.load_reported_at + self.timing.load_report_ttl_ms { state.other_load } else { 0 };
+        (state.in_flight + other_load, state)
     }
 
     /// The name and address of a delivery node that may receive messages with these homes:
@@ -420,8 +421,8 @@
             deadline,
             attempt: (0, 0),
         };
-        if let Some(s) = self.sample(&in_flight) {
-            s.sent += 1;
+        if let Some(sample) = self.sample(&in_flight) {
+            sample.sent += 1;
         }
         self.in_flight.insert(key, in_flight);
     }
@@ -455,82 +456,85 @@
 
     /// Sets the term and number of the attempt in flight.
     pub fn set_attempt_number(&mut self, key: MessageKey, term: u64, attempt: u64) {
-        if let Some(f) = self.in_flight.get_mut(&key) {
-            f.attempt = (term, attempt);
+        if let Some(in_flight) = self.in_flight.get_mut(&key) {
+            in_flight.attempt = (term, attempt);
         }
     }
 
     /// Whether the attempt in flight is a different one from the given one.
     pub fn is_outdated(&self, key: MessageKey, term: u64, attempt: u64) -> bool {
         let differs = |a: u64, b: u64| a != 0 && b != 0 && a != b;
-        self.in_flight.get(&key).is_some_and(|f| differs(f.attempt.0, term) || differs(f.attempt.1, attempt))
+        self.in_flight
+            .get(&key)
+            .is_some_and(|in_flight| differs(in_flight.attempt.0, term) || differs(in_flight.attempt.1, attempt))
     }
 
     /// Removes an attempt that has ended from those in flight.
     pub fn end_attempt(&mut self, key: MessageKey) -> Option<InFlight> {
-        let f = self.in_flight.remove(&key)?;
-        if let Some(s) = self.processors.get_mut(&f.processor) {
-            s.in_flight = s.in_flight.saturating_sub(1);
+        let attempt = self.in_flight.remove(&key)?;
+        if let Some(state) = self.processors.get_mut(&attempt.processor) {
+            state.in_flight = state.in_flight.saturating_sub(1);
         }
-        Some(f)
+        Some(attempt)
     }
 
     /// The messages whose attempts should have been reported by now.
     pub fn overdue(&self, now: u64) -> Vec<MessageKey> {
-        self.in_flight.iter().filter(|(_, f)| now >= f.deadline).map(|(k, _)| *k).collect()
+        self.in_flight.iter().filter(|(_, attempt)| now >= attempt.deadline).map(|(k, _)| *k).collect()
     }
 
     /// The sample that an attempt counts towards, if a rollout of its service is running.
-    fn sample(&mut self, f: &InFlight) -> Option<&mut Sample> {
-        let running = self.assignments.rollouts.iter().any(|r| r.service == f.service && r.state == "running");
-        if !running || f.revision.is_empty() {
+    fn sample(&mut self, attempt: &InFlight) -> Option<&mut Sample> {
+        let running = self.assignments.rollouts.iter().any(|r| r.service == attempt.service && r.state == "running");
+        if !running || attempt.revision.is_empty() {
             return None;
         }
-        let key = (f.service.clone(), f.revision.clone(), f.route.clone());
+        let key = (attempt.service.clone(), attempt.revision.clone(), attempt.route.clone());
         Some(self.samples.entry(key).or_insert_with(|| Sample {
-            service: f.service.clone(),
-            revision: f.revision.clone(),
-            route: f.route.clone(),
+            service: attempt.service.clone(),
+            revision: attempt.revision.clone(),
+            route: attempt.route.clone(),
             ..Sample::default()
         }))
     }
 
     /// Removes and returns the samples gathered since the last call.
     pub fn take_samples(&mut self) -> Vec<Sample> {
-        self.samples.drain().map(|(_, s)| s).collect()
+        self.samples.drain().map(|(_, sample)| sample).collect()
     }
 
     /// Updates the rollout samples and the processor's state from the report of an attempt.
-    pub fn record_report(&mut self, f: &InFlight, r: &Report, now: u64) {
-        let outcome = Outcome::try_from(r.outcome).unwrap_or(Outcome::Unknown);
+    pub fn record_report(&mut self, attempt: &InFlight, report: &Report, now: u64) {
+        let outcome = Outcome::try_from(report.outcome).unwrap_or(Outcome::Unknown);
         let timing = self.timing;
-        if let Some(s) = self.sample(f) {
+        if let Some(sample) = self.sample(attempt) {
             match outcome {
                 Outcome::Done => {
-                    s.good += 1;
-                    s.ms_sum += f64::from(r.took_ms);
+                    sample.good += 1;
+                    sample.ms_sum += f64::from(report.took_ms);
                 }
-                Outcome::Failed | Outcome::Unknown => s.bad += 1,
+                Outcome::Failed | Outcome::Unknown => sample.bad += 1,
                 _ => {}
             }
         }
-        let s = self.processors.entry(f.processor.clone()).or_default();
-        if r.loaded {
+        let state = self.processors.entry(attempt.processor.clone()).or_default();
+        if report.loaded {
             // The processor counts the request that it has just answered as running.
-            s.other_load = (r.running + r.waiting).saturating_sub(s.in_flight + 1);
-            s.load_reported_at = now;
+            state.other_load = (report.running + report.waiting).saturating_sub(state.in_flight + 1);
+            state.load_reported_at = now;
         }
         match outcome {
-            Outcome::Done | Outcome::Failed | Outcome::Never => s.failures = 0,
-            Outcome::NotRun if r.status == 409 => {}
-            Outcome::NotRun if r.status == 503 || r.status == 429 => {
+            Outcome::Done | Outcome::Failed | Outcome::Never => state.failures = 0,
+            Outcome::NotRun if report.status == 409 => {}
+            Outcome::NotRun if report.status == 503 || report.status == 429 => {
                 // The processor is full with the work of other senders.
-                s.backoff_until = now + timing.initial_backoff_ms;
+                state.backoff_until = now + timing.initial_backoff_ms;
             }
-            Outcome::NotRun if r.status == 421 => s.backoff_until = now + timing.max_backoff_ms * 4,
+            Outcome::NotRun if report.status == 421 => state.backoff_until = now + timing.max_backoff_ms * 4,
             _ => {
-                s.failures += 1;
-                s.backoff_until = now + (timing.initial_backoff_ms << s.failures.min(6)).min(timing.max_backoff_ms);
+                state.failures += 1;
+                state.backoff_until =
+                    now + (timing.initial_backoff_ms << state.failures.min(6)).min(timing.max_backoff_ms);
             }
         }
     }
