--- a/crates/control/tests/clock_steps.rs
+++ b/crates/control/tests/clock_steps.rs
@@ -3,7 +3,7 @@
 //! within its bound.
 
 use control::ClusterClock;
-use partition::{PartitionClock, surely_over};
+use partition::{PartitionClock, with_slew_margin};
 use proptest::prelude::*;
 use rpc::{CarriedTime, PARTITION_SLEW_PPM};
 
@@ -182,7 +182,7 @@
         let Some(time) = self.owner_time() else { return };
         let at = self.at;
         for m in self.accepted.iter_mut().filter(|m| m.given_up.is_none()) {
-            if time > m.record_ms + surely_over(RETENTION_MS) {
+            if time > m.record_ms + with_slew_margin(RETENTION_MS) {
                 m.given_up = Some(at);
             }
         }
@@ -191,7 +191,7 @@
         }
         for n in (0..MACHINES).filter(|n| *n != self.owner) {
             let now = self.store(n).steady(at);
-            self.partition[n].owner_said(time, now);
+            self.partition[n].observe_owner_time(time, now);
         }
     }
 
@@ -208,7 +208,7 @@
             if let Some(t) = self.carried[n].time(self.store(n).steady(at)) {
                 self.control[leader].hear_carried(t, now);
             }
-            let reached = self.partition[n].reached(self.store(n).steady(at));
+            let reached = self.partition[n].latest_time(self.store(n).steady(at));
             self.control[leader].hear_reached(reached);
         }
         if at >= self.leads_since + LEADER_WAIT_MS {
@@ -252,7 +252,7 @@
         self.last_record_ms = record_ms;
         for n in 0..MACHINES {
             let now = self.store(n).steady(self.at);
-            self.partition[n].record(record_ms, now);
+            self.partition[n].observe_record(record_ms, now);
         }
     }
 
@@ -286,7 +286,7 @@
             prop_assert!(after >= RETENTION_MS, "given up after {after} ms");
             // Each change of the owner may cost a tick, a change of the leader its wait.
             let late = powerless + events.len() as u64 * (LEADER_WAIT_MS + 2 * TICK_MS);
-            prop_assert!(after <= surely_over(surely_over(RETENTION_MS)) + late, "given up only after {after} ms");
+            prop_assert!(after <= with_slew_margin(with_slew_margin(RETENTION_MS)) + late, "given up only after {after} ms");
         }
     }
 }
--- a/crates/partition/src/clock.rs
+++ b/crates/partition/src/clock.rs
@@ -29,7 +29,7 @@
 
 impl PartitionClock {
     /// A record of this partition's log: its time has passed.
-    pub fn record(&mut self, at_ms: u64, now: u64) {
+    pub fn observe_record(&mut self, at_ms: u64, now: u64) {
         match self {
             PartitionClock::Stopped { reached_ms } => *reached_ms = at_ms.max(*reached_ms),
             PartitionClock::Running(clock) => clock.raise_to(at_ms, now),
@@ -37,11 +37,11 @@
     }
 
     /// The owner says its time; 0 if it is of a release that says none.
-    pub fn owner_said(&mut self, time_ms: u64, now: u64) {
+    pub fn observe_owner_time(&mut self, time_ms: u64, now: u64) {
         if !is_plausible_time(time_ms) {
             return;
         }
-        self.record(time_ms, now);
+        self.observe_record(time_ms, now);
         if let PartitionClock::Stopped { reached_ms } = *self {
             *self = PartitionClock::Running(SlewedClock::start(reached_ms, now, PARTITION_SLEW_PPM));
         }
@@ -65,7 +65,7 @@
     }
 
     /// The time that runs here; None while it is stopped.
-    pub fn running(&self, now: u64) -> Option<u64> {
+    pub fn running_time(&self, now: u64) -> Option<u64> {
         match self {
             PartitionClock::Stopped { .. } => None,
             PartitionClock::Running(clock) => Some(clock.time(now)),
@@ -73,7 +73,7 @@
     }
 
     /// The latest time that the log, or the running clock, says has passed.
-    pub fn reached(&self, now: u64) -> u64 {
+    pub fn latest_time(&self, now: u64) -> u64 {
         match self {
             PartitionClock::Stopped { reached_ms } => *reached_ms,
             PartitionClock::Running(clock) => clock.time(now),
@@ -91,6 +91,6 @@
 
 /// How much later than `span_ms` by a partition's time something is certain to be that long
 /// ago by any steady clock: twice what slewing makes of it, as the cluster's time slews too.
-pub fn surely_over(span_ms: u64) -> u64 {
+pub fn with_slew_margin(span_ms: u64) -> u64 {
     span_ms + span_ms * 2 * PARTITION_SLEW_PPM / 1_000_000 + 1
 }
--- a/crates/partition/src/lib.rs
+++ b/crates/partition/src/lib.rs
@@ -10,7 +10,7 @@
 mod record;
 mod replica;
 mod state;
-pub use clock::{PartitionClock, surely_over};
+pub use clock::{PartitionClock, with_slew_margin};
 pub use placements::{Placement, Placements, SnapshotPlacement};
 pub use record::*;
 pub use replica::{Effect, Meta, PartitionReplica, ReplicaRole, Timing};
--- a/crates/partition/src/replica.rs
+++ b/crates/partition/src/replica.rs
@@ -240,7 +240,7 @@
                 return Err(format!("partition {id}: snapshot is of {}, not of {}", s.position, meta.base));
             }
             m.state = PartitionState::restore(&s, timing.retention()).map_err(|e| format!("partition {id}: {e}"))?;
-            m.clock.record(m.state.reached_ms(), 0);
+            m.clock.observe_record(m.state.reached_ms(), 0);
         } else if meta.base != 0 {
             return Err(format!("partition {id}: the snapshot of {} is missing", meta.base));
         }
@@ -321,7 +321,7 @@
             let record =
                 Record::decode(e.record.clone()).map_err(|e| format!("partition {}: entry {pos}: {e}", self.id))?;
             let found = self.state.fold(pos, &record);
-            self.clock.record(record.at_ms, now);
+            self.clock.observe_record(record.at_ms, now);
             self.digests.push_back((pos, self.state.digest()));
             if self.digests.len() > 8192 {
                 self.digests.pop_front();
@@ -370,12 +370,12 @@
 
     /// The partition's time; None where none runs since the start of this process.
     pub fn time(&self, now: u64) -> Option<u64> {
-        self.clock.running(now)
+        self.clock.running_time(now)
     }
 
     /// The latest time that is known to have passed here.
     pub fn reached_ms(&self, now: u64) -> u64 {
-        self.clock.reached(now)
+        self.clock.latest_time(now)
     }
 
     /// How far the partition's time is from the cluster's, which it slews to.
--- a/crates/partition/src/replica/follower.rs
+++ b/crates/partition/src/replica/follower.rs
@@ -12,7 +12,7 @@
             self.follow(m.term, &m.owner, out);
         }
         self.owner.clone_from(&m.owner);
-        self.clock.owner_said(m.time_ms, now);
+        self.clock.observe_owner_time(m.time_ms, now);
         let end = self.end();
         let joins = m.prev <= end && (m.prev + 1 < self.first || self.term_at(m.prev) == Some(m.prev_term));
         if !joins {
@@ -123,7 +123,7 @@
         };
         let (from, end) = (self.disk_base + 1, self.end());
         self.state = state;
-        self.clock.record(self.state.reached_ms(), now);
+        self.clock.observe_record(self.state.reached_ms(), now);
         self.log.clear();
         self.log_bytes = 0;
         self.since_snapshot = 0;
--- a/crates/partition/src/replica/ownership.rs
+++ b/crates/partition/src/replica/ownership.rs
@@ -92,7 +92,7 @@
         for pos in self.state.position + 1..=self.end() {
             let record = self.entry(pos).and_then(|e| Record::decode(e.record.clone()).ok());
             if let Some(record) = record {
-                self.clock.record(record.at_ms, now);
+                self.clock.observe_record(record.at_ms, now);
             }
         }
     }
--- a/crates/partition/src/replica/replication.rs
+++ b/crates/partition/src/replica/replication.rs
@@ -60,7 +60,7 @@
             prev_term,
             entries,
             commit: self.commit,
-            time_ms: self.clock.running(now).unwrap_or(0),
+            time_ms: self.clock.running_time(now).unwrap_or(0),
         };
         out.push(Effect::Send(node.to_owned(), Body::Entries(m)));
         if at <= end {
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -19,7 +19,7 @@
             state.scheduler.delay_until(key, now + self.quiet_fraction_ms(100.0));
             return;
         };
-        let due = message.at_ms + surely_over(message.due_ms.saturating_sub(message.at_ms));
+        let due = message.at_ms + with_slew_margin(message.due_ms.saturating_sub(message.at_ms));
         if due > time {
             state.scheduler.delay_until(key, now + (due - time));
             return;
--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -93,7 +93,7 @@
         let settled_ms = self.settings.constraints.quiet_ms as u64;
         let is_over = |message: &partition::Message| {
             let retain_ms = state.retain_ms(&message.item.route);
-            retain_ms > 0 && time > message.at_ms + surely_over(retain_ms)
+            retain_ms > 0 && time > message.at_ms + with_slew_margin(retain_ms)
         };
         let is_replaced = |message: &partition::Message| {
             let item = &message.item;
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -128,7 +128,7 @@
             );
             if hold_until > time {
                 telemetry::count("runs_maybe_held");
-                state.scheduler.delay_until((partition, pos), now + surely_over(hold_until - time));
+                state.scheduler.delay_until((partition, pos), now + with_slew_margin(hold_until - time));
                 continue;
             }
             self.schedule(state, (partition, pos), now);
