--- a/crates/front/tests/placements.rs
+++ b/crates/front/tests/placements.rs
@@ -191,7 +191,7 @@
     fn orders_under_way(&self) -> HashMap<String, BTreeSet<u32>> {
         let mut orders: HashMap<String, BTreeSet<u32>> = HashMap::new();
         for (partition, state) in &self.partitions {
-            let pending = state.pieces.values().filter(|message| message.state == MessageState::Pending);
+            let pending = state.messages.values().filter(|message| message.state == MessageState::Pending);
             for message in pending.filter(|message| !message.item.order_key.is_empty()) {
                 orders.entry(message.item.order_key.clone()).or_default().insert(*partition);
             }
@@ -203,7 +203,7 @@
     fn kept(&self) -> HashMap<OperationId, Vec<u32>> {
         let mut kept: HashMap<OperationId, Vec<u32>> = HashMap::new();
         for (partition, state) in &self.partitions {
-            for operation in state.pieces.values().filter_map(|message| message.item.operation) {
+            for operation in state.messages.values().filter_map(|message| message.item.operation) {
                 kept.entry(operation).or_default().push(*partition);
             }
         }
--- a/crates/partition/src/state.rs
+++ b/crates/partition/src/state.rs
@@ -3,7 +3,7 @@
 mod placing;
 mod snapshot;
 pub use placing::{PlacementRefusal, Whereabouts};
-pub use snapshot::{Snapshot, SnapshotPiece};
+pub use snapshot::{Snapshot, SnapshotMessage};
 
 use crate::digest::{fingerprint, mix};
 use crate::placements::{Placement, Placements};
@@ -137,7 +137,7 @@
 pub struct PartitionState {
     /// All up to here is folded.
     pub position: u64,
-    pub pieces: BTreeMap<u64, Message>,
+    pub messages: BTreeMap<u64, Message>,
     /// By request id, within a tenant.
     ids: HashMap<String, u64>,
     /// The last message of each operation.
@@ -196,26 +196,26 @@
 
     pub fn digest(&self) -> u64 {
         let sum = self.digest.wrapping_add(self.placements.digest());
-        mix(mix(sum, self.revision), self.pieces.len() as u64)
+        mix(mix(sum, self.revision), self.messages.len() as u64)
     }
 
     /// The digest from scratch: what the running one must equal.
     pub fn digest_anew(&self) -> u64 {
-        let sum = self.pieces.iter().fold(0u64, |a, (p, w)| a.wrapping_add(part(*p, w)));
+        let sum = self.messages.iter().fold(0u64, |a, (p, w)| a.wrapping_add(part(*p, w)));
         let sum = sum.wrapping_add(self.placements.digest_anew());
-        mix(mix(sum, self.revision), self.pieces.len() as u64)
+        mix(mix(sum, self.revision), self.messages.len() as u64)
     }
 
     /// Bytes of memory that the messages take, about.
     pub fn weight(&self) -> usize {
         let operations = self.operations.len() + self.placements.len();
-        self.body_bytes + self.pieces.len() * PIECE_BYTES + operations * OPERATION_BYTES
+        self.body_bytes + self.messages.len() * PIECE_BYTES + operations * OPERATION_BYTES
     }
 
     /// Bytes of a snapshot, about.
     pub fn snapshot_bytes(&self) -> usize {
         let operations = self.operations.len() + self.placements.len();
-        self.body_bytes + self.pieces.len() * (PIECE_BYTES / 4) + operations * OPERATION_SNAPSHOT_BYTES
+        self.body_bytes + self.messages.len() * (PIECE_BYTES / 4) + operations * OPERATION_SNAPSHOT_BYTES
     }
 
     /// A tenant's message by its request id.
@@ -232,13 +232,13 @@
     /// The message that keeps an operation, inside the window.
     pub fn find_operation(&self, operation: &OperationId, at_ms: u64) -> Option<u64> {
         let position = *self.operations.get(operation)?;
-        let message = self.pieces.get(&position)?;
+        let message = self.messages.get(&position)?;
         (at_ms <= self.retention.operation_end(message)).then_some(position)
     }
 
     /// Whether an attempt at a message is counted as one that failed.
     pub fn is_failure_counted(&self, position: u64, attempt: u64) -> bool {
-        self.pieces.get(&position).is_some_and(|message| message.failed.contains(&attempt))
+        self.messages.get(&position).is_some_and(|message| message.failed.contains(&attempt))
     }
 
     /// How many operations' keys are kept.
@@ -278,7 +278,7 @@
     }
 
     fn change<T>(&mut self, pos: u64, f: impl FnOnce(&mut Message) -> T) -> Option<T> {
-        let w = self.pieces.get_mut(&pos)?;
+        let w = self.messages.get_mut(&pos)?;
         self.digest = self.digest.wrapping_sub(part(pos, w));
         let t = f(w);
         self.digest = self.digest.wrapping_add(part(pos, w));
@@ -286,7 +286,7 @@
     }
 
     fn end(&mut self, pos: u64, state: MessageState, result_tag: &str, at: u64, out: &mut Vec<Change>) {
-        let Some(w) = self.pieces.get(&pos) else { return };
+        let Some(w) = self.messages.get(&pos) else { return };
         if w.state != MessageState::Pending {
             return;
         }
@@ -302,14 +302,14 @@
         self.pending.remove(&pos);
         if state == MessageState::Settled {
             // A body is owed back only for what has not ended well.
-            if let Some(w) = self.pieces.get_mut(&pos) {
+            if let Some(w) = self.messages.get_mut(&pos) {
                 self.body_bytes -= w.item.body.len();
                 // What is still asked for: whose it is, by which names, and where to call back.
                 let Item { id, route, host, notify_url, tenant, operation, .. } = std::mem::take(&mut w.item);
                 w.item = Item { id, route, host, notify_url, tenant, operation, ..Item::default() };
             }
         }
-        if let Some(w) = self.pieces.get(&pos) {
+        if let Some(w) = self.messages.get(&pos) {
             self.ended.insert((self.retention.end(w), pos));
         }
         out.push(Change::Ended(pos));
@@ -391,12 +391,12 @@
                 Ok(Outcome::Never) => self.end(a.position, MessageState::Dead, "", at, &mut out),
                 Ok(Outcome::Failed) => {
                     let counts = |w: &Message| w.state == MessageState::Pending && !w.failed.contains(&a.attempt);
-                    if self.pieces.get(&a.position).is_some_and(counts) {
+                    if self.messages.get(&a.position).is_some_and(counts) {
                         let n = self.change(a.position, |w| {
                             w.failed.push(a.attempt);
                             w.failed.len()
                         });
-                        let route = &self.pieces[&a.position].item.route;
+                        let route = &self.messages[&a.position].item.route;
                         let tries = self.routes.get(route).map_or(1, |r| r.tries.max(1));
                         if n.unwrap_or(0) >= tries as usize {
                             self.end(a.position, MessageState::Dead, "", at, &mut out);
@@ -431,7 +431,7 @@
                 }
                 self.routes.extend(r.routes.iter().map(|f| (f.route.clone(), f.clone())));
                 let dropped: Vec<u64> = self
-                    .pieces
+                    .messages
                     .iter()
                     .filter(|(_, w)| w.state == MessageState::Pending && !self.routes.contains_key(&w.item.route))
                     .map(|(p, _)| *p)
@@ -452,7 +452,7 @@
                 break;
             }
             self.ended.pop_first();
-            if let Some(w) = self.pieces.remove(&p) {
+            if let Some(w) = self.messages.remove(&p) {
                 self.digest = self.digest.wrapping_sub(part(p, &w));
                 self.body_bytes -= w.item.body.len();
                 self.ids.remove(&scoped(&w.item.tenant, &w.item.id));
@@ -479,6 +479,6 @@
         }
         self.body_bytes += w.item.body.len();
         self.digest = self.digest.wrapping_add(part(pos, &w));
-        self.pieces.insert(pos, w);
+        self.messages.insert(pos, w);
     }
 }
--- a/crates/partition/src/state/snapshot.rs
+++ b/crates/partition/src/state/snapshot.rs
@@ -15,10 +15,10 @@
             position: self.position,
             revision: self.revision,
             routes,
-            pieces: self
-                .pieces
+            messages: self
+                .messages
                 .iter()
-                .map(|(p, w)| SnapshotPiece {
+                .map(|(p, w)| SnapshotMessage {
                     position: *p,
                     item: w.item.clone(),
                     at_ms: w.at_ms,
@@ -47,7 +47,7 @@
         j.revision = s.revision;
         j.routes = s.routes.iter().map(|f| (f.route.clone(), f.clone())).collect();
         let mut ended = BTreeSet::new();
-        for p in &s.pieces {
+        for p in &s.messages {
             let state = match p.state {
                 0 => MessageState::Pending,
                 1 => MessageState::Settled,
@@ -75,7 +75,7 @@
         j.ended = ended;
         j.placements = Placements::restore(&s.placements);
         // A snapshot of an earlier release says it by its messages alone.
-        let latest = j.pieces.values().map(|w| w.at_ms.max(w.sent_ms).max(w.ended_ms)).max();
+        let latest = j.messages.values().map(|w| w.at_ms.max(w.sent_ms).max(w.ended_ms)).max();
         j.reached_ms = s.reached_ms.max(latest.unwrap_or(0));
         if j.digest() != s.digest {
             return Err("snapshot does not match its digest".into());
@@ -94,7 +94,7 @@
     #[prost(message, repeated, tag = "3")]
     pub routes: Vec<RouteFacts>,
     #[prost(message, repeated, tag = "4")]
-    pub pieces: Vec<SnapshotPiece>,
+    pub messages: Vec<SnapshotMessage>,
     #[prost(fixed64, tag = "5")]
     pub digest: u64,
     /// The latest time that a record has.
@@ -106,7 +106,7 @@
 
 /// One message, as a snapshot holds it.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct SnapshotPiece {
+pub struct SnapshotMessage {
     #[prost(uint64, tag = "1")]
     pub position: u64,
     #[prost(message, required, tag = "2")]
--- a/crates/partition/tests/fold.rs
+++ b/crates/partition/tests/fold.rs
@@ -75,12 +75,12 @@
         assert!(b.fold(i as u64 + 1, r).is_empty());
     }
     assert_eq!(a.digest(), b.digest());
-    assert_eq!(a.pieces[&2].state, MessageState::Settled);
-    assert_eq!(a.pieces[&2].result_tag, "seal");
-    assert_eq!(a.pieces[&3].state, MessageState::Dead, "two failures are all its tries");
-    assert_eq!(a.pieces[&4].state, MessageState::Dead, "422 ends it at once");
-    assert_eq!(&a.pieces[&4].item.body[..], b"body", "a dead message's body is kept");
-    assert!(a.pieces[&2].notified && !a.pieces[&3].notified);
+    assert_eq!(a.messages[&2].state, MessageState::Settled);
+    assert_eq!(a.messages[&2].result_tag, "seal");
+    assert_eq!(a.messages[&3].state, MessageState::Dead, "two failures are all its tries");
+    assert_eq!(a.messages[&4].state, MessageState::Dead, "422 ends it at once");
+    assert_eq!(&a.messages[&4].item.body[..], b"body", "a dead message's body is kept");
+    assert!(a.messages[&2].notified && !a.messages[&3].notified);
 }
 
 #[test]
@@ -90,7 +90,7 @@
     j.fold(2, &record(1, accept("m1", "k")));
     j.fold(3, &record(1, accept("m2", "k")));
     j.fold(4, &record(1, accept("m3", "other")));
-    let head = |j: &PartitionState, p: u64| j.is_head(p, &j.pieces[&p]);
+    let head = |j: &PartitionState, p: u64| j.is_head(p, &j.messages[&p]);
     assert!(head(&j, 2) && !head(&j, 3) && head(&j, 4));
     assert_eq!(j.fold(5, &record(2, answer(2, Outcome::Failed, 106))), vec![Change::Failed(2)]);
     assert!(!head(&j, 3), "a failed attempt does not end it");
@@ -108,10 +108,10 @@
         let again = j.fold(at, &record(at, answer(2, Outcome::Failed, 7)));
         assert_eq!(again.is_empty(), at > 3);
     }
-    assert_eq!((j.pieces[&2].state, j.pieces[&2].failed.len()), (MessageState::Pending, 1));
+    assert_eq!((j.messages[&2].state, j.messages[&2].failed.len()), (MessageState::Pending, 1));
     j.fold(9, &record(9, answer(2, Outcome::Failed, 8)));
     j.fold(10, &record(10, answer(2, Outcome::Failed, 9)));
-    assert_eq!(j.pieces[&2].state, MessageState::Dead);
+    assert_eq!(j.messages[&2].state, MessageState::Dead);
 }
 
 #[test]
@@ -120,7 +120,7 @@
     j.fold(1, &record(1, routes(1, &["r-a"], 1)));
     j.fold(2, &record(1, accept("m1", "")));
     assert_eq!(j.fold(3, &record(2, accept("m1", ""))), vec![Change::Repeated { at: 3, old: 2 }]);
-    assert_eq!(j.pieces.len(), 1);
+    assert_eq!(j.messages.len(), 1);
 }
 
 #[test]
@@ -130,9 +130,9 @@
     j.fold(2, &record(1, accept("m1", "")));
     j.fold(3, &record(1, accept("m2", "")));
     j.fold(4, &record(2, Entry::Expire(Positions { positions: vec![2] })));
-    assert_eq!(j.pieces[&2].state, MessageState::Dead);
+    assert_eq!(j.messages[&2].state, MessageState::Dead);
     j.fold(5, &record(3, routes(2, &["r-b"], 1)));
-    assert_eq!(j.pieces[&3].state, MessageState::Dead);
+    assert_eq!(j.messages[&3].state, MessageState::Dead);
     assert!(!j.has_route("r-a") && j.pending.is_empty());
     j.fold(6, &record(4, routes(1, &["r-a"], 1)));
     assert!(!j.has_route("r-a"), "a configuration is never gone back on");
@@ -145,9 +145,9 @@
     j.fold(2, &record(10, accept("m1", "")));
     j.fold(3, &record(20, answer(2, Outcome::Done, 109)));
     j.fold(4, &record(1269, accept("m2", "")));
-    assert!(j.pieces.contains_key(&2));
+    assert!(j.messages.contains_key(&2));
     j.fold(5, &record(1271, accept("m3", "")));
-    assert!(!j.pieces.contains_key(&2) && j.find("", "m1").is_none());
+    assert!(!j.messages.contains_key(&2) && j.find("", "m1").is_none());
     assert_eq!(j.digest(), j.digest_anew());
 }
 
@@ -156,7 +156,7 @@
     let mut j = PartitionState::new(1000);
     play(&mut j, &trace(), 0);
     let mut s = j.snapshot();
-    s.pieces[0].failed.push(9);
+    s.messages[0].failed.push(9);
     assert!(PartitionState::restore(&s, 1000).is_err());
 }
 
--- a/crates/partition/tests/operations.rs
+++ b/crates/partition/tests/operations.rs
@@ -56,7 +56,7 @@
     assert_eq!(again, vec![Change::Repeated { at: 3, old: 2 }]);
     assert_eq!(state.find_repeat(&item("m3", "clinic", operation(1)), 30), Some(2));
     assert_eq!(state.find_repeat(&item("m3", "clinic", operation(2)), 30), None);
-    assert_eq!(state.pieces.len(), 1);
+    assert_eq!(state.messages.len(), 1);
 }
 
 #[test]
@@ -83,7 +83,7 @@
     assert_eq!(state.fold(3, &record(later, accept(item("m2", "clinic", operation(1))))), vec![Change::Accepted(3)]);
     state.fold(4, &record(later + 1, answer(2, Outcome::Done)));
     state.fold(5, &record(later + 2000, accept(item("m3", "clinic", operation(3)))));
-    assert!(!state.pieces.contains_key(&2), "the first one is forgotten");
+    assert!(!state.messages.contains_key(&2), "the first one is forgotten");
     assert_eq!(state.find_repeat(&item("m4", "clinic", operation(1)), later + 2000), Some(3), "its successor is not");
 }
 
@@ -94,11 +94,11 @@
         let at = 10 + n * 100;
         state.fold(2 + 2 * n, &record(at, accept(item(&format!("m{n}"), "clinic", operation(n)))));
         state.fold(3 + 2 * n, &record(at + 1, answer(2 + 2 * n, Outcome::Done)));
-        assert_eq!(state.remembered_operations(), state.pieces.len());
-        assert!(state.pieces.len() <= 52, "one window and a quarter of them");
+        assert_eq!(state.remembered_operations(), state.messages.len());
+        assert!(state.messages.len() <= 52, "one window and a quarter of them");
     }
     let without = PartitionState::new(RETENTION).weight();
-    assert!(state.weight() > without + state.pieces.len() * 1024, "keys count in what a store may hold");
+    assert!(state.weight() > without + state.messages.len() * 1024, "keys count in what a store may hold");
 }
 
 #[test]
@@ -141,9 +141,9 @@
     assert_eq!(state.fold(3, &record(11, accept(ordered("m1", "shop")))), vec![Change::Accepted(3)]);
     assert_eq!(state.fold(4, &record(12, accept(ordered("m1", "clinic")))), vec![Change::Repeated { at: 4, old: 2 }]);
     assert_eq!((state.find("clinic", "m1"), state.find("shop", "m1"), state.find("", "m1")), (Some(2), Some(3), None));
-    assert!(state.is_head(2, &state.pieces[&2]) && state.is_head(3, &state.pieces[&3]));
+    assert!(state.is_head(2, &state.messages[&2]) && state.is_head(3, &state.messages[&3]));
     state.fold(5, &record(13, accept(ordered("m2", "clinic"))));
-    assert!(!state.is_head(5, &state.pieces[&5]));
+    assert!(!state.is_head(5, &state.messages[&5]));
     assert_eq!(state.fold(6, &record(14, answer(2, Outcome::Done))), vec![Change::Ended(2), Change::Freed(5)]);
     assert_eq!(state.find("clinic", "m1"), Some(2), "a settled one is found by its tenant");
 }
@@ -175,7 +175,7 @@
     assert_eq!(place_of(state.fold(2, &record(10, place(1, 5)))), (5, 1));
     assert_eq!(place_of(state.fold(3, &record(11, place(1, 6)))), (5, 1));
     assert_eq!(place_of(state.fold(4, &record(12, accept(item("m1", "clinic", operation(1)))))), (5, 1));
-    assert!(state.pieces.is_empty(), "what is placed elsewhere is not kept here");
+    assert!(state.messages.is_empty(), "what is placed elsewhere is not kept here");
     assert_eq!(state.fold(5, &record(13, accept(item("m2", "clinic", operation(2))))), vec![Change::Accepted(5)]);
     assert_eq!(state.fold(6, &record(14, place(2, 5))), vec![Change::Repeated { at: 6, old: 5 }]);
     assert_eq!(state.digest(), state.digest_anew());
--- a/crates/partition/tests/splice.rs
+++ b/crates/partition/tests/splice.rs
@@ -866,7 +866,7 @@
     w.settle();
     let known = w.nodes["b"].state.find_repeat(&item_of("x", 1), w.now);
     assert_eq!(known, Some(written), "the repeat at {again:?} is the first one");
-    assert_eq!(w.nodes["b"].state.pieces.values().filter(|m| m.item.tenant == "t").count(), 1);
+    assert_eq!(w.nodes["b"].state.messages.values().filter(|m| m.item.tenant == "t").count(), 1);
 }
 
 #[test]
--- a/crates/store/src/service/audit.rs
+++ b/crates/store/src/service/audit.rs
@@ -51,8 +51,11 @@
                 if scheduled.contains(&key) {
                     continue;
                 }
-                let is_head =
-                    replica.state.pieces.get(position).is_some_and(|message| replica.state.is_head(*position, message));
+                let is_head = replica
+                    .state
+                    .messages
+                    .get(position)
+                    .is_some_and(|message| replica.state.is_head(*position, message));
                 if *position <= recovering_up_to || !replica.caught_up() {
                     waiting.taken_over += 1;
                 } else if !is_head {
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -6,7 +6,7 @@
     /// Schedules a message that may run: queues it if it is due, else delays it until then.
     pub(super) fn schedule(&self, state: &mut StoreState, key: MessageKey, now: u64) {
         let Some(replica) = state.replicas.get(&key.0) else { return };
-        let Some(message) = replica.state.pieces.get(&key.1) else { return };
+        let Some(message) = replica.state.messages.get(&key.1) else { return };
         if replica.role != ReplicaRole::Owner
             || message.state != MessageState::Pending
             || !replica.state.is_head(key.1, message)
@@ -46,7 +46,7 @@
         }
         state.queued_by_revision = configuration.revision;
         let is_elsewhere = |(key, queue): &(MessageKey, &QueueId)| {
-            let message = state.replicas.get(&key.0).and_then(|replica| replica.state.pieces.get(&key.1));
+            let message = state.replicas.get(&key.0).and_then(|replica| replica.state.messages.get(&key.1));
             message.and_then(|message| QueueId::of(configuration, &message.item)).as_ref() != Some(*queue)
         };
         let moved: Vec<MessageKey> =
@@ -130,7 +130,7 @@
                 let item = state
                     .replicas
                     .get(&key.0)
-                    .and_then(|replica| replica.state.pieces.get(&key.1))
+                    .and_then(|replica| replica.state.messages.get(&key.1))
                     .map(|message| &message.item);
                 if item.and_then(|item| QueueId::of(&known.configuration, item)).is_none_or(|current| current != queue)
                 {
@@ -175,7 +175,7 @@
     ) -> bool {
         let at_ms = self.owner_time(state, key.0);
         let Some(replica) = state.replicas.get_mut(&key.0) else { return false };
-        let Some(message) = replica.state.pieces.get(&key.1).filter(|message| message.state == MessageState::Pending)
+        let Some(message) = replica.state.messages.get(&key.1).filter(|message| message.state == MessageState::Pending)
         else {
             return false;
         };
@@ -263,7 +263,7 @@
                 .replicas
                 .get(&key.0)
                 .filter(|replica| replica.role == ReplicaRole::Owner)
-                .and_then(|replica| replica.state.pieces.get(&key.1));
+                .and_then(|replica| replica.state.messages.get(&key.1));
             let Some(message) = message.filter(|message| message.owes_notice()) else { continue };
             let host = message.item.notify_url.trim_start_matches("http://").split('/').next().unwrap_or("").to_owned();
             let busy = state.scheduler.callbacks_in_flight.get(&host).copied().unwrap_or(0);
--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -104,7 +104,7 @@
         };
         let mut ended = Vec::new();
         for position in &state.pending {
-            let message = &state.pieces[position];
+            let message = &state.messages[position];
             let replaced = is_replaced(message);
             telemetry::add("messages_of_replaced_routes", u64::from(replaced));
             if replaced || is_over(message) {
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -164,7 +164,7 @@
                     let key = (partition, pos);
                     state.uncommitted_reports.remove(&key);
                     state.scheduler.remove(key);
-                    if let Some(message) = state.replicas[&partition].state.pieces.get(&pos) {
+                    if let Some(message) = state.replicas[&partition].state.messages.get(&pos) {
                         telemetry::count(if message.state == MessageState::Settled { "settled" } else { "dead" });
                         if message.owes_notice() {
                             state.scheduler.callbacks.push_back((now, key));
--- a/crates/store/src/service/quota.rs
+++ b/crates/store/src/service/quota.rs
@@ -210,7 +210,7 @@
             quota.is_request_due = true;
             quota.stock.begin_partition(replica.id, replica.term);
             let is_recent = |message: &&partition::Message| message.at_ms + window_ms > time;
-            for message in replica.state.pieces.values().rev().take_while(is_recent) {
+            for message in replica.state.messages.values().rev().take_while(is_recent) {
                 if !message.item.tenant.is_empty() {
                     let age_ms = time.saturating_sub(message.at_ms);
                     quota.stock.count_accepted(&message.item.tenant, replica.id, age_ms, now);
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -86,7 +86,7 @@
         let known = self.session.known();
         let replica = &state.replicas[&partition];
         for ((pos, of_term, attempt), front) in held {
-            if let Some(message) = replica.state.pieces.get(&pos)
+            if let Some(message) = replica.state.messages.get(&pos)
                 && message.state == MessageState::Pending
                 && let Some(route) = known.configuration.route_named(&message.item.route)
             {
@@ -103,7 +103,7 @@
         };
         let at_work = pending
             .iter()
-            .map(|pos| &replica.state.pieces[pos])
+            .map(|pos| &replica.state.messages[pos])
             .filter(|message| message.sent_ms + longest(message) > taken_over_time);
         let unresponsive_nodes = unresponsive_nodes(
             &answered,
@@ -111,11 +111,11 @@
             at_work.map(|message| message.node.as_str()),
         );
         let owed_callbacks: Vec<u64> =
-            replica.state.pieces.iter().filter(|(_, message)| message.owes_notice()).map(|(p, _)| *p).collect();
+            replica.state.messages.iter().filter(|(_, message)| message.owes_notice()).map(|(p, _)| *p).collect();
         for pos in pending {
             // A missing answer does not mean that nothing is held: a message last dispatched to
             // such a node waits until that attempt cannot be running any more.
-            let message = &state.replicas[&partition].state.pieces[&pos];
+            let message = &state.replicas[&partition].state.messages[&pos];
             let unresponsive = UnresponsiveNodes {
                 any: seized && !unresponsive_nodes.is_empty(),
                 last_recipient: unresponsive_nodes.contains(&message.node),
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -162,7 +162,7 @@
             state.scheduler.record_report(&in_flight, &report, now);
         }
         let replica = &state.replicas[&key.0];
-        let message = replica.state.pieces.get(&key.1);
+        let message = replica.state.messages.get(&key.1);
         let is_pending = message.is_some_and(|message| message.state == MessageState::Pending);
         if report.outcome == Outcome::Done as i32
             && message.is_some_and(|message| {
@@ -242,7 +242,7 @@
 
     /// Whether and how a message may be sent again.
     pub(super) fn retry_safety(&self, state: &StoreState, key: MessageKey) -> RetrySafety {
-        let Some(message) = state.replicas.get(&key.0).and_then(|replica| replica.state.pieces.get(&key.1)) else {
+        let Some(message) = state.replicas.get(&key.0).and_then(|replica| replica.state.messages.get(&key.1)) else {
             return RetrySafety::Message;
         };
         let dedupes = self.session.with_known(|s| {
@@ -278,7 +278,7 @@
         let is_owner = replica.role == ReplicaRole::Owner && self.has_lease(state);
         let by_id = || replica.state.find(&request.tenant, &request.id).or_else(|| replica.state.find("", &request.id));
         let position = if request.id.is_empty() { Some(request.position) } else { by_id() };
-        match position.and_then(|position| replica.state.pieces.get(&position)) {
+        match position.and_then(|position| replica.state.messages.get(&position)) {
             Some(message) if is_owner || request.body => self.found(message, request, is_owner),
             None if is_owner && replica.caught_up() => Found { owner: true, ..Found::default() },
             _ => Found::default(),
@@ -317,7 +317,7 @@
                 replica.mismatch,
                 replica.state.digest(),
                 replica.state.pending.len(),
-                replica.state.pieces.len(),
+                replica.state.messages.len(),
                 replica.is_moving(),
                 if replica.role == ReplicaRole::Owner { replica.awaited() } else { Vec::new() }
             );
