--- a/crates/front/tests/placements.rs
+++ b/crates/front/tests/placements.rs
@@ -163,7 +163,7 @@
         let changes = state.fold(position, &Record { at_ms: 1, entry: Some(entry) });
         let answer = |outcome: AcceptOutcome| Accepted { outcome: outcome as i32, ..Accepted::default() };
         match changes.first() {
-            Some(Change::Accepted(position) | Change::Repeated { old: position, .. }) => {
+            Some(Change::Accepted(position) | Change::Duplicate { original: position, .. }) => {
                 Accepted { position: *position, ..answer(AcceptOutcome::Taken) }
             }
             Some(Change::PlacedElsewhere { placement, .. }) => Accepted {
--- a/crates/partition/src/placements.rs
+++ b/crates/partition/src/placements.rs
@@ -78,7 +78,7 @@
     }
 
     /// Forgets what does not hold any more.
-    pub fn forget_before(&mut self, at_ms: u64) {
+    pub fn remove_expired(&mut self, at_ms: u64) {
         while let Some((until_ms, subject)) = self.expiry.first().cloned() {
             if until_ms >= at_ms {
                 break;
@@ -103,7 +103,7 @@
     }
 
     /// The digest from scratch: what the running one must equal.
-    pub fn digest_anew(&self) -> u64 {
+    pub fn recompute_digest(&self) -> u64 {
         self.by_subject.iter().fold(0, |sum, (subject, placement)| sum.wrapping_add(part(subject, placement)))
     }
 
--- a/crates/partition/src/record.rs
+++ b/crates/partition/src/record.rs
@@ -130,9 +130,9 @@
     pub routes: Vec<RouteFacts>,
     /// Not 0: only what has changed since that revision, and which are gone.
     #[prost(uint64, tag = "3")]
-    pub since: u64,
+    pub base_revision: u64,
     #[prost(string, repeated, tag = "4")]
-    pub gone: Vec<String>,
+    pub removed: Vec<String>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
--- a/crates/partition/src/state.rs
+++ b/crates/partition/src/state.rs
@@ -2,7 +2,7 @@
 
 mod placing;
 mod snapshot;
-pub use placing::{PlacementRefusal, Whereabouts};
+pub use placing::{PlacementRefusal, SubjectLocation};
 pub use snapshot::{Snapshot, SnapshotMessage};
 
 use crate::digest::{fingerprint, mix};
@@ -19,7 +19,7 @@
 }
 
 impl MessageState {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             MessageState::Pending => "pending",
             MessageState::Settled => "settled",
@@ -49,7 +49,7 @@
 }
 
 impl Message {
-    pub fn owes_notice(&self) -> bool {
+    pub fn needs_notification(&self) -> bool {
         self.state != MessageState::Pending && !self.notified && !self.item.notify_url.is_empty()
     }
 }
@@ -59,9 +59,9 @@
 pub enum Change {
     Accepted(u64),
     /// The record at `at` repeats a message known as `old`.
-    Repeated {
+    Duplicate {
         at: u64,
-        old: u64,
+        original: u64,
     },
     /// The record at `at` is of an operation or order key that is placed in another partition.
     PlacedElsewhere {
@@ -81,7 +81,7 @@
     Failed(u64),
     Ended(u64),
     /// The head of an order key may run.
-    Freed(u64),
+    Unblocked(u64),
     Notified(u64),
     Epoch {
         at: u64,
@@ -200,14 +200,14 @@
     }
 
     /// The digest from scratch: what the running one must equal.
-    pub fn digest_anew(&self) -> u64 {
+    pub fn recompute_digest(&self) -> u64 {
         let sum = self.messages.iter().fold(0u64, |a, (p, w)| a.wrapping_add(part(*p, w)));
-        let sum = sum.wrapping_add(self.placements.digest_anew());
+        let sum = sum.wrapping_add(self.placements.recompute_digest());
         mix(mix(sum, self.revision), self.messages.len() as u64)
     }
 
     /// Bytes of memory that the messages take, about.
-    pub fn weight(&self) -> usize {
+    pub fn memory_bytes(&self) -> usize {
         let operations = self.operations.len() + self.placements.len();
         self.body_bytes + self.messages.len() * PIECE_BYTES + operations * OPERATION_BYTES
     }
@@ -225,7 +225,7 @@
 
     /// The message that an accept at `at_ms` would repeat: by its id, or as a try at the same
     /// operation inside the window.
-    pub fn find_repeat(&self, item: &Item, at_ms: u64) -> Option<u64> {
+    pub fn find_duplicate(&self, item: &Item, at_ms: u64) -> Option<u64> {
         self.find(&item.tenant, &item.id).or_else(|| self.find_operation(item.operation.as_ref()?, at_ms))
     }
 
@@ -242,7 +242,7 @@
     }
 
     /// How many operations' keys are kept.
-    pub fn remembered_operations(&self) -> usize {
+    pub fn operation_count(&self) -> usize {
         self.operations.len()
     }
 
@@ -252,7 +252,7 @@
 
     /// What has changed against the routes that are known here: with many routes
     /// and partitions, whole lists would be most of what the logs carry.
-    pub fn since_known(&self, whole: Routes) -> Routes {
+    pub fn routes_delta(&self, whole: Routes) -> Routes {
         if self.revision == 0 {
             return whole;
         }
@@ -260,7 +260,7 @@
         let mut gone: Vec<String> = self.routes.keys().filter(|n| !names.contains(n.as_str())).cloned().collect();
         gone.sort();
         let routes = whole.routes.iter().filter(|r| self.routes.get(&r.route) != Some(r)).cloned().collect();
-        Routes { revision: whole.revision, routes, since: self.revision, gone }
+        Routes { revision: whole.revision, routes, base_revision: self.revision, removed: gone }
     }
 
     pub fn retain_ms(&self, route: &str) -> u64 {
@@ -321,7 +321,7 @@
             if q.is_empty() {
                 self.orders.remove(&key);
             } else if was_head && let Some(h) = q.front() {
-                out.push(Change::Freed(*h));
+                out.push(Change::Unblocked(*h));
             }
         }
     }
@@ -337,12 +337,12 @@
         self.reached_ms = self.reached_ms.max(at);
         match &record.entry {
             Some(Entry::Accept(a)) => {
-                if let Some(old) = self.find_repeat(&a.item, at) {
-                    out.push(Change::Repeated { at: pos, old });
+                if let Some(old) = self.find_duplicate(&a.item, at) {
+                    out.push(Change::Duplicate { at: pos, original: old });
                     return out;
                 }
                 let generations = a.generations.unwrap_or_default();
-                if let Some(refusal) = self.refusal_by_placement(&a.item, generations, at) {
+                if let Some(refusal) = self.placement_refusal(&a.item, generations, at) {
                     out.push(match refusal {
                         PlacementRefusal::Operation(placement) => Change::PlacedElsewhere { at: pos, placement },
                         PlacementRefusal::Order => Change::OrderPlacedElsewhere { at: pos },
@@ -421,12 +421,12 @@
             }
             // Changes since another revision are of no use; their writer sees that
             // nothing came of them and writes them anew.
-            Some(Entry::Routes(r)) if r.revision > self.revision && [0, self.revision].contains(&r.since) => {
+            Some(Entry::Routes(r)) if r.revision > self.revision && [0, self.revision].contains(&r.base_revision) => {
                 self.revision = r.revision;
-                if r.since == 0 {
+                if r.base_revision == 0 {
                     self.routes.clear();
                 }
-                for name in &r.gone {
+                for name in &r.removed {
                     self.routes.remove(name);
                 }
                 self.routes.extend(r.routes.iter().map(|f| (f.route.clone(), f.clone())));
@@ -445,7 +445,7 @@
             Some(Entry::Stop(s)) => out.push(Change::Stopped(s.clone())),
             Some(Entry::Routes(_)) | None => {}
         }
-        self.placements.forget_before(at);
+        self.placements.remove_expired(at);
         // What ended long enough ago is forgotten: the time that it may be asked for, and a quarter.
         while let Some((end, p)) = self.ended.first().copied() {
             if end >= at {
--- a/crates/partition/src/state/placing.rs
+++ b/crates/partition/src/state/placing.rs
@@ -7,13 +7,13 @@
 
 /// What a partition knows of a subject that may be placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Whereabouts {
+pub enum SubjectLocation {
     /// It is placed in another partition.
     Elsewhere(Placement),
     /// The operation is kept here, by the message at this position.
     KeptHere(u64),
     /// Messages of the order key are under way here.
-    UnderWayHere,
+    InFlightHere,
 }
 
 /// Why a message is not to be kept by a partition.
@@ -34,21 +34,23 @@
 
     /// What is known here of a subject that came by a placement of that generation; `None` if it
     /// may be placed anywhere.
-    pub fn whereabouts(&self, subject: &PlacementSubject, generation: u64, at_ms: u64) -> Option<Whereabouts> {
+    pub fn locate(&self, subject: &PlacementSubject, generation: u64, at_ms: u64) -> Option<SubjectLocation> {
         if let Some(placement) = self.placement_of(subject, generation, at_ms) {
-            return Some(Whereabouts::Elsewhere(placement));
+            return Some(SubjectLocation::Elsewhere(placement));
         }
         match subject {
-            PlacementSubject::Operation(operation) => self.find_operation(operation, at_ms).map(Whereabouts::KeptHere),
+            PlacementSubject::Operation(operation) => {
+                self.find_operation(operation, at_ms).map(SubjectLocation::KeptHere)
+            }
             PlacementSubject::Order(order) => {
                 let is_under_way = self.orders.contains_key(&scoped(&order.tenant, &order.key));
-                is_under_way.then_some(Whereabouts::UnderWayHere)
+                is_under_way.then_some(SubjectLocation::InFlightHere)
             }
         }
     }
 
     /// Why a message that came by these placements is not to be kept here; `None` if it may be.
-    pub fn refusal_by_placement(
+    pub fn placement_refusal(
         &self,
         item: &Item,
         generations: PlacementGenerations,
@@ -77,7 +79,7 @@
     }
 
     /// How many operations and order keys are placed in other partitions.
-    pub fn placed_subjects(&self) -> usize {
+    pub fn placement_count(&self) -> usize {
         self.placements.len()
     }
 
@@ -93,10 +95,10 @@
     pub(super) fn place(&mut self, at: u64, record: &PlaceRecord, at_ms: u64) -> Option<Change> {
         let PlaceRecord { partition, subject, generation, hold_ms } = record;
         let subject = subject.as_ref()?;
-        match self.whereabouts(subject, *generation, at_ms) {
-            Some(Whereabouts::KeptHere(old)) => return Some(Change::Repeated { at, old }),
-            Some(Whereabouts::UnderWayHere) => return Some(Change::StaysHere { at }),
-            Some(Whereabouts::Elsewhere(_)) | None => {}
+        match self.locate(subject, *generation, at_ms) {
+            Some(SubjectLocation::KeptHere(old)) => return Some(Change::Duplicate { at, original: old }),
+            Some(SubjectLocation::InFlightHere) => return Some(Change::StaysHere { at }),
+            Some(SubjectLocation::Elsewhere(_)) | None => {}
         }
         let until_ms = at_ms + self.retention.placement_time(subject, *hold_ms);
         let placement = self.placements.place(subject.clone(), *partition, *generation, at_ms, until_ms);
--- a/crates/partition/tests/fold.rs
+++ b/crates/partition/tests/fold.rs
@@ -53,7 +53,7 @@
 fn play(state: &mut PartitionState, trace: &[Record], from: usize) {
     for (i, r) in trace.iter().enumerate().skip(from) {
         state.fold(i as u64 + 1, r);
-        assert_eq!(state.digest(), state.digest_anew(), "after record {}", i + 1);
+        assert_eq!(state.digest(), state.recompute_digest(), "after record {}", i + 1);
     }
 }
 
@@ -94,7 +94,7 @@
     assert!(head(&j, 2) && !head(&j, 3) && head(&j, 4));
     assert_eq!(j.fold(5, &record(2, answer(2, Outcome::Failed, 106))), vec![Change::Failed(2)]);
     assert!(!head(&j, 3), "a failed attempt does not end it");
-    assert_eq!(j.fold(6, &record(3, answer(2, Outcome::Done, 107))), vec![Change::Ended(2), Change::Freed(3)]);
+    assert_eq!(j.fold(6, &record(3, answer(2, Outcome::Done, 107))), vec![Change::Ended(2), Change::Unblocked(3)]);
     assert!(head(&j, 3));
     assert!(j.fold(7, &record(4, answer(2, Outcome::Done, 108))).is_empty(), "it has ended already");
 }
@@ -119,7 +119,7 @@
     let mut j = PartitionState::new(1000);
     j.fold(1, &record(1, routes(1, &["r-a"], 1)));
     j.fold(2, &record(1, accept("m1", "")));
-    assert_eq!(j.fold(3, &record(2, accept("m1", ""))), vec![Change::Repeated { at: 3, old: 2 }]);
+    assert_eq!(j.fold(3, &record(2, accept("m1", ""))), vec![Change::Duplicate { at: 3, original: 2 }]);
     assert_eq!(j.messages.len(), 1);
 }
 
@@ -148,7 +148,7 @@
     assert!(j.messages.contains_key(&2));
     j.fold(5, &record(1271, accept("m3", "")));
     assert!(!j.messages.contains_key(&2) && j.find("", "m1").is_none());
-    assert_eq!(j.digest(), j.digest_anew());
+    assert_eq!(j.digest(), j.recompute_digest());
 }
 
 #[test]
@@ -171,22 +171,22 @@
     j.fold(1, &record(1, routes(3, &["r-a", "r-b"], 2)));
     j.fold(2, &record(2, accept("m1", "k")));
     // A time-out changes nothing that the fold knows: the record is all but empty.
-    let small = j.since_known(whole(5, facts(&["r-a", "r-b"], 2)));
-    assert!(small.since == 3 && small.routes.is_empty() && small.gone.is_empty());
+    let small = j.routes_delta(whole(5, facts(&["r-a", "r-b"], 2)));
+    assert!(small.base_revision == 3 && small.routes.is_empty() && small.removed.is_empty());
     // Written against a revision that is not there any more: nothing comes of it.
-    let late = j.since_known(whole(9, facts(&["r-c"], 2)));
+    let late = j.routes_delta(whole(9, facts(&["r-c"], 2)));
     j.fold(3, &record(3, Entry::Routes(small)));
     assert_eq!((j.revision, j.fold(4, &record(4, Entry::Routes(late))).len()), (5, 0));
     assert_eq!(j.revision, 5);
     // One goes, one comes, one changes; a message of the one that goes has ended.
     let mut next = facts(&["r-b"], 7);
     next.extend(facts(&["r-c"], 2));
-    let change = j.since_known(whole(9, next.clone()));
-    assert_eq!((change.routes.len(), change.gone.clone()), (2, vec!["r-a".to_string()]));
+    let change = j.routes_delta(whole(9, next.clone()));
+    assert_eq!((change.routes.len(), change.removed.clone()), (2, vec!["r-a".to_string()]));
     assert_eq!(j.fold(5, &record(5, Entry::Routes(change))), vec![Change::Ended(2)]);
     assert!(j.has_route("r-b") && j.has_route("r-c") && !j.has_route("r-a"));
-    assert!(j.since_known(whole(10, next)).routes.is_empty());
-    assert_eq!(j.digest(), j.digest_anew());
+    assert!(j.routes_delta(whole(10, next)).routes.is_empty());
+    assert_eq!(j.digest(), j.recompute_digest());
 }
 
 #[test]
--- a/crates/partition/tests/operations.rs
+++ b/crates/partition/tests/operations.rs
@@ -53,9 +53,9 @@
     let mut state = with_route();
     state.fold(2, &record(10, accept(item("m1", "clinic", operation(1)))));
     let again = state.fold(3, &record(20, accept(item("m2", "clinic", operation(1)))));
-    assert_eq!(again, vec![Change::Repeated { at: 3, old: 2 }]);
-    assert_eq!(state.find_repeat(&item("m3", "clinic", operation(1)), 30), Some(2));
-    assert_eq!(state.find_repeat(&item("m3", "clinic", operation(2)), 30), None);
+    assert_eq!(again, vec![Change::Duplicate { at: 3, original: 2 }]);
+    assert_eq!(state.find_duplicate(&item("m3", "clinic", operation(1)), 30), Some(2));
+    assert_eq!(state.find_duplicate(&item("m3", "clinic", operation(2)), 30), None);
     assert_eq!(state.messages.len(), 1);
 }
 
@@ -68,10 +68,10 @@
         // What is said of its state alone is over long before that.
         let last = 10 + WINDOW * 5 / 4;
         state.fold(4, &record(last, accept(item("other", "clinic", operation(2)))));
-        assert_eq!(state.find_repeat(&item("m2", "clinic", operation(1)), last), Some(2));
+        assert_eq!(state.find_duplicate(&item("m2", "clinic", operation(1)), last), Some(2));
         state.fold(5, &record(last + 1, accept(item("m2", "clinic", operation(1)))));
-        assert_eq!(state.find_repeat(&item("m3", "clinic", operation(1)), last + 2), Some(5), "a new one by then");
-        assert_eq!(state.digest(), state.digest_anew());
+        assert_eq!(state.find_duplicate(&item("m3", "clinic", operation(1)), last + 2), Some(5), "a new one by then");
+        assert_eq!(state.digest(), state.recompute_digest());
     }
 }
 
@@ -84,7 +84,11 @@
     state.fold(4, &record(later + 1, answer(2, Outcome::Done)));
     state.fold(5, &record(later + 2000, accept(item("m3", "clinic", operation(3)))));
     assert!(!state.messages.contains_key(&2), "the first one is forgotten");
-    assert_eq!(state.find_repeat(&item("m4", "clinic", operation(1)), later + 2000), Some(3), "its successor is not");
+    assert_eq!(
+        state.find_duplicate(&item("m4", "clinic", operation(1)), later + 2000),
+        Some(3),
+        "its successor is not"
+    );
 }
 
 #[test]
@@ -94,11 +98,11 @@
         let at = 10 + n * 100;
         state.fold(2 + 2 * n, &record(at, accept(item(&format!("m{n}"), "clinic", operation(n)))));
         state.fold(3 + 2 * n, &record(at + 1, answer(2 + 2 * n, Outcome::Done)));
-        assert_eq!(state.remembered_operations(), state.messages.len());
+        assert_eq!(state.operation_count(), state.messages.len());
         assert!(state.messages.len() <= 52, "one window and a quarter of them");
     }
-    let without = PartitionState::new(RETENTION).weight();
-    assert!(state.weight() > without + state.messages.len() * 1024, "keys count in what a store may hold");
+    let without = PartitionState::new(RETENTION).memory_bytes();
+    assert!(state.memory_bytes() > without + state.messages.len() * 1024, "keys count in what a store may hold");
 }
 
 #[test]
@@ -110,8 +114,8 @@
     let mut restored = PartitionState::restore(&state.snapshot(), RETENTION).expect("a good snapshot");
     for low in [1, 2] {
         let again = item("m9", "clinic", operation(low));
-        assert_eq!(restored.find_repeat(&again, 40), state.find_repeat(&again, 40));
-        assert!(restored.find_repeat(&again, 40).is_some());
+        assert_eq!(restored.find_duplicate(&again, 40), state.find_duplicate(&again, 40));
+        assert!(restored.find_duplicate(&again, 40).is_some());
     }
     // Both forget at the same record.
     let late = 31 + WINDOW * 5 / 4;
@@ -119,7 +123,7 @@
         s.fold(5, &record(late, accept(item("m3", "clinic", operation(3)))));
     }
     assert_eq!(state.digest(), restored.digest());
-    assert_eq!(state.remembered_operations(), restored.remembered_operations());
+    assert_eq!(state.operation_count(), restored.operation_count());
 }
 
 #[test]
@@ -139,12 +143,15 @@
     let ordered = |id: &str, tenant: &str| Item { order_key: "k".into(), ..item(id, tenant, None) };
     state.fold(2, &record(10, accept(ordered("m1", "clinic"))));
     assert_eq!(state.fold(3, &record(11, accept(ordered("m1", "shop")))), vec![Change::Accepted(3)]);
-    assert_eq!(state.fold(4, &record(12, accept(ordered("m1", "clinic")))), vec![Change::Repeated { at: 4, old: 2 }]);
+    assert_eq!(
+        state.fold(4, &record(12, accept(ordered("m1", "clinic")))),
+        vec![Change::Duplicate { at: 4, original: 2 }]
+    );
     assert_eq!((state.find("clinic", "m1"), state.find("shop", "m1"), state.find("", "m1")), (Some(2), Some(3), None));
     assert!(state.is_head(2, &state.messages[&2]) && state.is_head(3, &state.messages[&3]));
     state.fold(5, &record(13, accept(ordered("m2", "clinic"))));
     assert!(!state.is_head(5, &state.messages[&5]));
-    assert_eq!(state.fold(6, &record(14, answer(2, Outcome::Done))), vec![Change::Ended(2), Change::Freed(5)]);
+    assert_eq!(state.fold(6, &record(14, answer(2, Outcome::Done))), vec![Change::Ended(2), Change::Unblocked(5)]);
     assert_eq!(state.find("clinic", "m1"), Some(2), "a settled one is found by its tenant");
 }
 
@@ -177,8 +184,8 @@
     assert_eq!(place_of(state.fold(4, &record(12, accept(item("m1", "clinic", operation(1)))))), (5, 1));
     assert!(state.messages.is_empty(), "what is placed elsewhere is not kept here");
     assert_eq!(state.fold(5, &record(13, accept(item("m2", "clinic", operation(2))))), vec![Change::Accepted(5)]);
-    assert_eq!(state.fold(6, &record(14, place(2, 5))), vec![Change::Repeated { at: 6, old: 5 }]);
-    assert_eq!(state.digest(), state.digest_anew());
+    assert_eq!(state.fold(6, &record(14, place(2, 5))), vec![Change::Duplicate { at: 6, original: 5 }]);
+    assert_eq!(state.digest(), state.recompute_digest());
 }
 
 #[test]
@@ -193,8 +200,8 @@
         state.fold(5, &record(13, accept_from(item("m1", "clinic", operation(1)), 3, 0))),
         vec![Change::Accepted(5)]
     );
-    assert_eq!(state.placed_subjects(), 0);
-    assert_eq!(state.digest(), state.digest_anew());
+    assert_eq!(state.placement_count(), 0);
+    assert_eq!(state.digest(), state.recompute_digest());
 }
 
 #[test]
@@ -212,7 +219,7 @@
     let other = Item { tenant: "shop".into(), ..ordered("m3") };
     assert_eq!(state.fold(7, &record(15, accept(other))), vec![Change::Accepted(7)], "another tenant's key is another");
     assert_eq!(state.fold(8, &record(16, accept_from(ordered("m4"), 0, 1))), vec![Change::Accepted(8)], "it is back");
-    assert_eq!(state.digest(), state.digest_anew());
+    assert_eq!(state.digest(), state.recompute_digest());
 }
 
 #[test]
@@ -226,8 +233,8 @@
     assert_eq!((placement.partition, placement.until_ms), (5, last));
     assert_eq!(state.placement_of(&subject(1), 0, last + 1), None);
     state.fold(4, &record(last + 1, accept(item("m1", "clinic", operation(1)))));
-    assert_eq!((state.placed_subjects(), state.remembered_operations()), (0, 1), "its number is bounded");
-    assert_eq!(state.digest(), state.digest_anew());
+    assert_eq!((state.placement_count(), state.operation_count()), (0, 1), "its number is bounded");
+    assert_eq!(state.digest(), state.recompute_digest());
 }
 
 #[test]
@@ -253,7 +260,7 @@
     let late = 11 + WINDOW * 5 / 4;
     for state in [&mut state, &mut restored] {
         state.fold(4, &record(late, place(3, 7)));
-        assert_eq!(state.placed_subjects(), 2, "the first one is forgotten");
+        assert_eq!(state.placement_count(), 2, "the first one is forgotten");
     }
     assert_eq!(state.digest(), restored.digest());
     let mut other = with_route();
--- a/crates/partition/tests/splice.rs
+++ b/crates/partition/tests/splice.rs
@@ -818,13 +818,13 @@
         let item =
             Item { id: id.into(), route: "r".into(), tenant: "t".into(), operation: operation(low), ..Item::default() };
         let owner = self.owner();
-        if let Some(known) = self.nodes[&owner].state.find_repeat(&item, self.now) {
+        if let Some(known) = self.nodes[&owner].state.find_duplicate(&item, self.now) {
             return known;
         }
         let position =
             self.append(Entry::Accept(AcceptRecord { item, delay_ms: 0, generations: None })).expect("an owner");
         let again = Item { id: String::new(), tenant: "t".into(), operation: operation(low), ..Item::default() };
-        self.nodes[&owner].state.find_repeat(&again, self.now).unwrap_or(position)
+        self.nodes[&owner].state.find_duplicate(&again, self.now).unwrap_or(position)
     }
 }
 
@@ -855,7 +855,7 @@
     let written = w.append(accept_of("o1", 1)).expect("written");
     w.hold_sync.remove("b");
     w.settle();
-    assert!(w.nodes["b"].state.find_repeat(&item_of("x", 1), w.now).is_none(), "not committed");
+    assert!(w.nodes["b"].state.find_duplicate(&item_of("x", 1), w.now).is_none(), "not committed");
     w.crash("a");
     w.cut.insert("a".into());
     // Its client comes again before the new owner has folded what it took over.
@@ -864,7 +864,7 @@
     let again = w.append(accept_of("o1-again", 1));
     w.hold_sync.remove("b");
     w.settle();
-    let known = w.nodes["b"].state.find_repeat(&item_of("x", 1), w.now);
+    let known = w.nodes["b"].state.find_duplicate(&item_of("x", 1), w.now);
     assert_eq!(known, Some(written), "the repeat at {again:?} is the first one");
     assert_eq!(w.nodes["b"].state.messages.values().filter(|m| m.item.tenant == "t").count(), 1);
 }
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -264,7 +264,7 @@
                 .get(&key.0)
                 .filter(|replica| replica.role == ReplicaRole::Owner)
                 .and_then(|replica| replica.state.messages.get(&key.1));
-            let Some(message) = message.filter(|message| message.owes_notice()) else { continue };
+            let Some(message) = message.filter(|message| message.needs_notification()) else { continue };
             let host = message.item.notify_url.trim_start_matches("http://").split('/').next().unwrap_or("").to_owned();
             let busy = state.scheduler.callbacks_in_flight.get(&host).copied().unwrap_or(0);
             let homes = self
@@ -278,7 +278,7 @@
             let callback = Notify {
                 url: message.item.notify_url.clone(),
                 id: message.item.id.clone(),
-                state: message.state.word().into(),
+                state: message.state.as_str().into(),
                 result_tag: message.result_tag.clone(),
             };
             *state.scheduler.callbacks_in_flight.entry(host.clone()).or_insert(0) += 1;
--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -21,7 +21,7 @@
             if replica.open() {
                 let mut records = Vec::new();
                 if known.configuration.revision > replica.state.revision {
-                    records.push(Entry::Routes(replica.state.since_known(routes(&known.configuration))));
+                    records.push(Entry::Routes(replica.state.routes_delta(routes(&known.configuration))));
                 }
                 if let Some(positions) = state.called_back.remove(&partition).filter(|positions| !positions.is_empty())
                 {
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -138,10 +138,10 @@
                     self.answer_waiters(state, (partition, pos), &accepted(AcceptOutcome::Taken, pos, ""));
                     self.schedule(state, (partition, pos), now);
                 }
-                Change::Repeated { at, old } => {
+                Change::Duplicate { at, original } => {
                     telemetry::count("accepts_repeated");
                     state.uncommitted_accepts.remove((partition, at));
-                    self.answer_waiters(state, (partition, at), &accepted(AcceptOutcome::Taken, old, ""));
+                    self.answer_waiters(state, (partition, at), &accepted(AcceptOutcome::Taken, original, ""));
                 }
                 Change::PlacedElsewhere { at, placement } => {
                     state.uncommitted_accepts.remove((partition, at));
@@ -166,12 +166,12 @@
                     state.scheduler.remove(key);
                     if let Some(message) = state.replicas[&partition].state.messages.get(&pos) {
                         telemetry::count(if message.state == MessageState::Settled { "settled" } else { "dead" });
-                        if message.owes_notice() {
+                        if message.needs_notification() {
                             state.scheduler.callbacks.push_back((now, key));
                         }
                     }
                 }
-                Change::Freed(pos) => self.schedule(state, (partition, pos), now),
+                Change::Unblocked(pos) => self.schedule(state, (partition, pos), now),
                 _ => {}
             }
         }
--- a/crates/store/src/service/placements.rs
+++ b/crates/store/src/service/placements.rs
@@ -67,16 +67,16 @@
 ) -> Option<Body> {
     let state = &replica.state;
     let is_query = request.wanted.is_none();
-    match state.whereabouts(subject, request.generation, at_ms) {
-        Some(Whereabouts::Elsewhere(placement)) => {
+    match state.locate(subject, request.generation, at_ms) {
+        Some(SubjectLocation::Elsewhere(placement)) => {
             let is_settled = is_query || !state.is_placement_due(&placement, subject, request.hold_ms, at_ms);
             is_settled.then(|| placed_elsewhere(&placement))
         }
-        Some(Whereabouts::KeptHere(position)) => {
+        Some(SubjectLocation::KeptHere(position)) => {
             telemetry::count("accepts_repeated");
             Some(accepted(AcceptOutcome::Taken, position, ""))
         }
-        Some(Whereabouts::UnderWayHere) => Some(accepted(AcceptOutcome::StaysHere, 0, "")),
+        Some(SubjectLocation::InFlightHere) => Some(accepted(AcceptOutcome::StaysHere, 0, "")),
         // Records of a former owner may not be applied yet.
         None if is_query && !replica.caught_up() => Some(accepted(AcceptOutcome::Elsewhere, 0, "")),
         None => is_query.then(|| accepted(AcceptOutcome::NotKnown, 0, "")),
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -110,8 +110,13 @@
             names.iter().map(String::as_str),
             at_work.map(|message| message.node.as_str()),
         );
-        let owed_callbacks: Vec<u64> =
-            replica.state.messages.iter().filter(|(_, message)| message.owes_notice()).map(|(p, _)| *p).collect();
+        let owed_callbacks: Vec<u64> = replica
+            .state
+            .messages
+            .iter()
+            .filter(|(_, message)| message.needs_notification())
+            .map(|(p, _)| *p)
+            .collect();
         for pos in pending {
             // A missing answer does not mean that nothing is held: a message last dispatched to
             // such a node waits until that attempt cannot be running any more.
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -50,12 +50,12 @@
         }
         let at_ms = self.owner_time(state, partition);
         let replica = &state.replicas[&partition];
-        if let Some(pos) = replica.state.find_repeat(&request.item, at_ms) {
+        if let Some(pos) = replica.state.find_duplicate(&request.item, at_ms) {
             telemetry::count("accepts_repeated");
             responder.send(accepted(AcceptOutcome::Taken, pos, ""));
             return;
         }
-        if let Some(refusal) = replica.state.refusal_by_placement(&request.item, request.generations, at_ms) {
+        if let Some(refusal) = replica.state.placement_refusal(&request.item, request.generations, at_ms) {
             responder.send(match refusal {
                 PlacementRefusal::Operation(placement) => placed_elsewhere(&placement),
                 PlacementRefusal::Order => accepted(AcceptOutcome::OrderPlacedElsewhere, 0, ""),
@@ -121,7 +121,7 @@
 
     /// Whether there is room for `bytes` more of messages of the given rank.
     pub(super) fn has_room(&self, state: &StoreState, rank: u32, bytes: usize) -> bool {
-        let held: usize = state.replicas.values().map(|replica| replica.state.weight()).sum();
+        let held: usize = state.replicas.values().map(|replica| replica.state.memory_bytes()).sum();
         let disk = (self.settings.limits.disk_mb << 20) as usize;
         let room = Capacity { memory: state.memory_limit, disk: disk * 9 / 10 };
         room.admits(rank, held + bytes, self.wal.used_bytes() as usize)
@@ -290,7 +290,7 @@
         Found {
             owner: is_owner,
             known: true,
-            state: message.state.word().into(),
+            state: message.state.as_str().into(),
             result_tag: message.result_tag.clone(),
             body: if request.body && !withheld { message.item.body.clone() } else { Bytes::new() },
             host: message.item.host.clone(),
