--- a/crates/front/tests/placements.rs
+++ b/crates/front/tests/placements.rs
@@ -152,7 +152,7 @@
             let names = (0..3).flat_map(|name| [format!("outer-{name}"), format!("inner-{name}")]);
             let routes = names.map(|route| RouteFacts { route, tries: 1, retain_ms: 60_000 }).collect();
             let routes = Routes { revision: 1, routes, ..Routes::default() };
-            state.fold(1, &Record { at_ms: 1, entry: Some(Entry::Routes(routes)) });
+            state.apply(1, &Record { at_ms: 1, entry: Some(Entry::Routes(routes)) });
             state
         })
     }
@@ -160,7 +160,7 @@
     fn write(&mut self, partition: u32, entry: Entry) -> Accepted {
         let state = self.state(partition);
         let position = state.position + 1;
-        let changes = state.fold(position, &Record { at_ms: 1, entry: Some(entry) });
+        let changes = state.apply(position, &Record { at_ms: 1, entry: Some(entry) });
         let answer = |outcome: AcceptOutcome| Accepted { outcome: outcome as i32, ..Accepted::default() };
         match changes.first() {
             Some(Change::Accepted(position) | Change::Duplicate { original: position, .. }) => {
@@ -183,7 +183,7 @@
         for position in state.pending.clone() {
             let outcome = Outcome::Done as i32;
             let answer = AnswerRecord { position, outcome, result_tag: "s".into(), attempt: position };
-            state.fold(state.position + 1, &Record { at_ms: 1, entry: Some(Entry::Answer(answer)) });
+            state.apply(state.position + 1, &Record { at_ms: 1, entry: Some(Entry::Answer(answer)) });
         }
     }
 
--- a/crates/partition/src/replica.rs
+++ b/crates/partition/src/replica.rs
@@ -36,7 +36,7 @@
     },
     Send(String, Body),
     /// The owner's fold has moved.
-    Folded(Vec<Change>),
+    Applied(Vec<Change>),
     TookOver {
         seized: bool,
     },
@@ -320,7 +320,7 @@
             };
             let record =
                 Record::decode(e.record.clone()).map_err(|e| format!("partition {}: entry {pos}: {e}", self.id))?;
-            let found = self.state.fold(pos, &record);
+            let found = self.state.apply(pos, &record);
             self.clock.observe_record(record.at_ms, now);
             self.digests.push_back((pos, self.state.digest()));
             if self.digests.len() > 8192 {
@@ -349,7 +349,7 @@
             }
         }
         if live && !changes.is_empty() {
-            out.push(Effect::Folded(changes));
+            out.push(Effect::Applied(changes));
         }
         self.trim();
         Ok(())
--- a/crates/partition/src/state.rs
+++ b/crates/partition/src/state.rs
@@ -327,7 +327,7 @@
     }
 
     /// Folds the record at `pos`. One that is folded already changes nothing.
-    pub fn fold(&mut self, pos: u64, record: &Record) -> Vec<Change> {
+    pub fn apply(&mut self, pos: u64, record: &Record) -> Vec<Change> {
         let mut out = Vec::new();
         if pos <= self.position {
             return out;
--- a/crates/partition/tests/fold.rs
+++ b/crates/partition/tests/fold.rs
@@ -52,7 +52,7 @@
 
 fn play(state: &mut PartitionState, trace: &[Record], from: usize) {
     for (i, r) in trace.iter().enumerate().skip(from) {
-        state.fold(i as u64 + 1, r);
+        state.apply(i as u64 + 1, r);
         assert_eq!(state.digest(), state.recompute_digest(), "after record {}", i + 1);
     }
 }
@@ -72,7 +72,7 @@
     }
     play(&mut b, &trace, 0);
     for (i, r) in trace.iter().enumerate() {
-        assert!(b.fold(i as u64 + 1, r).is_empty());
+        assert!(b.apply(i as u64 + 1, r).is_empty());
     }
     assert_eq!(a.digest(), b.digest());
     assert_eq!(a.messages[&2].state, MessageState::Settled);
@@ -86,67 +86,67 @@
 #[test]
 fn one_at_a_time_for_an_order_key() {
     let mut j = PartitionState::new(1000);
-    j.fold(1, &record(1, routes(1, &["r-a"], 6)));
-    j.fold(2, &record(1, accept("m1", "k")));
-    j.fold(3, &record(1, accept("m2", "k")));
-    j.fold(4, &record(1, accept("m3", "other")));
+    j.apply(1, &record(1, routes(1, &["r-a"], 6)));
+    j.apply(2, &record(1, accept("m1", "k")));
+    j.apply(3, &record(1, accept("m2", "k")));
+    j.apply(4, &record(1, accept("m3", "other")));
     let head = |j: &PartitionState, p: u64| j.is_head(p, &j.messages[&p]);
     assert!(head(&j, 2) && !head(&j, 3) && head(&j, 4));
-    assert_eq!(j.fold(5, &record(2, answer(2, Outcome::Failed, 106))), vec![Change::Failed(2)]);
+    assert_eq!(j.apply(5, &record(2, answer(2, Outcome::Failed, 106))), vec![Change::Failed(2)]);
     assert!(!head(&j, 3), "a failed attempt does not end it");
-    assert_eq!(j.fold(6, &record(3, answer(2, Outcome::Done, 107))), vec![Change::Ended(2), Change::Unblocked(3)]);
+    assert_eq!(j.apply(6, &record(3, answer(2, Outcome::Done, 107))), vec![Change::Ended(2), Change::Unblocked(3)]);
     assert!(head(&j, 3));
-    assert!(j.fold(7, &record(4, answer(2, Outcome::Done, 108))).is_empty(), "it has ended already");
+    assert!(j.apply(7, &record(4, answer(2, Outcome::Done, 108))).is_empty(), "it has ended already");
 }
 
 #[test]
 fn an_attempt_counts_once_however_often_it_is_reported() {
     let mut j = PartitionState::new(1000);
-    j.fold(1, &record(1, routes(1, &["r-a"], 3)));
-    j.fold(2, &record(1, accept("m1", "")));
+    j.apply(1, &record(1, routes(1, &["r-a"], 3)));
+    j.apply(2, &record(1, accept("m1", "")));
     for at in 3..9 {
-        let again = j.fold(at, &record(at, answer(2, Outcome::Failed, 7)));
+        let again = j.apply(at, &record(at, answer(2, Outcome::Failed, 7)));
         assert_eq!(again.is_empty(), at > 3);
     }
     assert_eq!((j.messages[&2].state, j.messages[&2].failed.len()), (MessageState::Pending, 1));
-    j.fold(9, &record(9, answer(2, Outcome::Failed, 8)));
-    j.fold(10, &record(10, answer(2, Outcome::Failed, 9)));
+    j.apply(9, &record(9, answer(2, Outcome::Failed, 8)));
+    j.apply(10, &record(10, answer(2, Outcome::Failed, 9)));
     assert_eq!(j.messages[&2].state, MessageState::Dead);
 }
 
 #[test]
 fn an_id_is_accepted_once() {
     let mut j = PartitionState::new(1000);
-    j.fold(1, &record(1, routes(1, &["r-a"], 1)));
-    j.fold(2, &record(1, accept("m1", "")));
-    assert_eq!(j.fold(3, &record(2, accept("m1", ""))), vec![Change::Duplicate { at: 3, original: 2 }]);
+    j.apply(1, &record(1, routes(1, &["r-a"], 1)));
+    j.apply(2, &record(1, accept("m1", "")));
+    assert_eq!(j.apply(3, &record(2, accept("m1", ""))), vec![Change::Duplicate { at: 3, original: 2 }]);
     assert_eq!(j.messages.len(), 1);
 }
 
 #[test]
 fn a_dropped_route_and_the_retention_end_messages() {
     let mut j = PartitionState::new(1000);
-    j.fold(1, &record(1, routes(1, &["r-a"], 1)));
-    j.fold(2, &record(1, accept("m1", "")));
-    j.fold(3, &record(1, accept("m2", "")));
-    j.fold(4, &record(2, Entry::Expire(Positions { positions: vec![2] })));
+    j.apply(1, &record(1, routes(1, &["r-a"], 1)));
+    j.apply(2, &record(1, accept("m1", "")));
+    j.apply(3, &record(1, accept("m2", "")));
+    j.apply(4, &record(2, Entry::Expire(Positions { positions: vec![2] })));
     assert_eq!(j.messages[&2].state, MessageState::Dead);
-    j.fold(5, &record(3, routes(2, &["r-b"], 1)));
+    j.apply(5, &record(3, routes(2, &["r-b"], 1)));
     assert_eq!(j.messages[&3].state, MessageState::Dead);
     assert!(!j.has_route("r-a") && j.pending.is_empty());
-    j.fold(6, &record(4, routes(1, &["r-a"], 1)));
+    j.apply(6, &record(4, routes(1, &["r-a"], 1)));
     assert!(!j.has_route("r-a"), "a configuration is never gone back on");
 }
 
 #[test]
 fn what_ended_is_forgotten_once_it_may_not_be_asked_for() {
     let mut j = PartitionState::new(1000);
-    j.fold(1, &record(1, routes(1, &["r-a"], 1)));
-    j.fold(2, &record(10, accept("m1", "")));
-    j.fold(3, &record(20, answer(2, Outcome::Done, 109)));
-    j.fold(4, &record(1269, accept("m2", "")));
+    j.apply(1, &record(1, routes(1, &["r-a"], 1)));
+    j.apply(2, &record(10, accept("m1", "")));
+    j.apply(3, &record(20, answer(2, Outcome::Done, 109)));
+    j.apply(4, &record(1269, accept("m2", "")));
     assert!(j.messages.contains_key(&2));
-    j.fold(5, &record(1271, accept("m3", "")));
+    j.apply(5, &record(1271, accept("m3", "")));
     assert!(!j.messages.contains_key(&2) && j.find("", "m1").is_none());
     assert_eq!(j.digest(), j.recompute_digest());
 }
@@ -168,22 +168,22 @@
     };
     let whole = |revision, routes| Routes { revision, routes, ..Routes::default() };
     let mut j = PartitionState::new(1000);
-    j.fold(1, &record(1, routes(3, &["r-a", "r-b"], 2)));
-    j.fold(2, &record(2, accept("m1", "k")));
+    j.apply(1, &record(1, routes(3, &["r-a", "r-b"], 2)));
+    j.apply(2, &record(2, accept("m1", "k")));
     // A time-out changes nothing that the fold knows: the record is all but empty.
     let small = j.routes_delta(whole(5, facts(&["r-a", "r-b"], 2)));
     assert!(small.base_revision == 3 && small.routes.is_empty() && small.removed.is_empty());
     // Written against a revision that is not there any more: nothing comes of it.
     let late = j.routes_delta(whole(9, facts(&["r-c"], 2)));
-    j.fold(3, &record(3, Entry::Routes(small)));
-    assert_eq!((j.revision, j.fold(4, &record(4, Entry::Routes(late))).len()), (5, 0));
+    j.apply(3, &record(3, Entry::Routes(small)));
+    assert_eq!((j.revision, j.apply(4, &record(4, Entry::Routes(late))).len()), (5, 0));
     assert_eq!(j.revision, 5);
     // One goes, one comes, one changes; a message of the one that goes has ended.
     let mut next = facts(&["r-b"], 7);
     next.extend(facts(&["r-c"], 2));
     let change = j.routes_delta(whole(9, next.clone()));
     assert_eq!((change.routes.len(), change.removed.clone()), (2, vec!["r-a".to_string()]));
-    assert_eq!(j.fold(5, &record(5, Entry::Routes(change))), vec![Change::Ended(2)]);
+    assert_eq!(j.apply(5, &record(5, Entry::Routes(change))), vec![Change::Ended(2)]);
     assert!(j.has_route("r-b") && j.has_route("r-c") && !j.has_route("r-a"));
     assert!(j.routes_delta(whole(10, next)).routes.is_empty());
     assert_eq!(j.digest(), j.recompute_digest());
@@ -214,8 +214,8 @@
         Entry::Answer(answer.clone()),
     ];
     for (position, entry) in (1..).zip(entries) {
-        state.fold(position, &Record { at_ms: position, entry: Some(entry) });
+        state.apply(position, &Record { at_ms: position, entry: Some(entry) });
     }
     assert!(state.is_failure_counted(2, 7) && !state.is_failure_counted(2, 8) && !state.is_failure_counted(1, 7));
-    assert_eq!(state.fold(4, &Record { at_ms: 4, entry: Some(Entry::Answer(answer)) }), vec![], "it counts once");
+    assert_eq!(state.apply(4, &Record { at_ms: 4, entry: Some(Entry::Answer(answer)) }), vec![], "it counts once");
 }
--- a/crates/partition/tests/operations.rs
+++ b/crates/partition/tests/operations.rs
@@ -44,15 +44,15 @@
 fn with_route() -> PartitionState {
     let routes = vec![RouteFacts { route: "r-a".into(), tries: 1, retain_ms: 60_000 }];
     let mut state = PartitionState::new(RETENTION);
-    state.fold(1, &record(1, Entry::Routes(Routes { revision: 1, routes, ..Routes::default() })));
+    state.apply(1, &record(1, Entry::Routes(Routes { revision: 1, routes, ..Routes::default() })));
     state
 }
 
 #[test]
 fn a_repeat_inside_the_window_is_the_first_message_whatever_its_id() {
     let mut state = with_route();
-    state.fold(2, &record(10, accept(item("m1", "clinic", operation(1)))));
-    let again = state.fold(3, &record(20, accept(item("m2", "clinic", operation(1)))));
+    state.apply(2, &record(10, accept(item("m1", "clinic", operation(1)))));
+    let again = state.apply(3, &record(20, accept(item("m2", "clinic", operation(1)))));
     assert_eq!(again, vec![Change::Duplicate { at: 3, original: 2 }]);
     assert_eq!(state.find_duplicate(&item("m3", "clinic", operation(1)), 30), Some(2));
     assert_eq!(state.find_duplicate(&item("m3", "clinic", operation(2)), 30), None);
@@ -63,13 +63,13 @@
 fn a_message_that_has_ended_well_or_not_is_known_by_its_key_until_the_window_is_over() {
     for outcome in [Outcome::Done, Outcome::Never] {
         let mut state = with_route();
-        state.fold(2, &record(10, accept(item("m1", "clinic", operation(1)))));
-        state.fold(3, &record(20, answer(2, outcome)));
+        state.apply(2, &record(10, accept(item("m1", "clinic", operation(1)))));
+        state.apply(3, &record(20, answer(2, outcome)));
         // What is said of its state alone is over long before that.
         let last = 10 + WINDOW * 5 / 4;
-        state.fold(4, &record(last, accept(item("other", "clinic", operation(2)))));
+        state.apply(4, &record(last, accept(item("other", "clinic", operation(2)))));
         assert_eq!(state.find_duplicate(&item("m2", "clinic", operation(1)), last), Some(2));
-        state.fold(5, &record(last + 1, accept(item("m2", "clinic", operation(1)))));
+        state.apply(5, &record(last + 1, accept(item("m2", "clinic", operation(1)))));
         assert_eq!(state.find_duplicate(&item("m3", "clinic", operation(1)), last + 2), Some(5), "a new one by then");
         assert_eq!(state.digest(), state.recompute_digest());
     }
@@ -78,11 +78,11 @@
 #[test]
 fn a_message_that_outlives_its_key_does_not_answer_for_it() {
     let mut state = with_route();
-    state.fold(2, &record(10, accept(item("m1", "clinic", operation(1)))));
+    state.apply(2, &record(10, accept(item("m1", "clinic", operation(1)))));
     let later = 11 + WINDOW * 5 / 4;
-    assert_eq!(state.fold(3, &record(later, accept(item("m2", "clinic", operation(1))))), vec![Change::Accepted(3)]);
-    state.fold(4, &record(later + 1, answer(2, Outcome::Done)));
-    state.fold(5, &record(later + 2000, accept(item("m3", "clinic", operation(3)))));
+    assert_eq!(state.apply(3, &record(later, accept(item("m2", "clinic", operation(1))))), vec![Change::Accepted(3)]);
+    state.apply(4, &record(later + 1, answer(2, Outcome::Done)));
+    state.apply(5, &record(later + 2000, accept(item("m3", "clinic", operation(3)))));
     assert!(!state.messages.contains_key(&2), "the first one is forgotten");
     assert_eq!(
         state.find_duplicate(&item("m4", "clinic", operation(1)), later + 2000),
@@ -96,8 +96,8 @@
     let mut state = with_route();
     for n in 0..500u64 {
         let at = 10 + n * 100;
-        state.fold(2 + 2 * n, &record(at, accept(item(&format!("m{n}"), "clinic", operation(n)))));
-        state.fold(3 + 2 * n, &record(at + 1, answer(2 + 2 * n, Outcome::Done)));
+        state.apply(2 + 2 * n, &record(at, accept(item(&format!("m{n}"), "clinic", operation(n)))));
+        state.apply(3 + 2 * n, &record(at + 1, answer(2 + 2 * n, Outcome::Done)));
         assert_eq!(state.operation_count(), state.messages.len());
         assert!(state.messages.len() <= 52, "one window and a quarter of them");
     }
@@ -108,9 +108,9 @@
 #[test]
 fn a_snapshot_carries_the_keys_and_says_the_same_of_every_repeat() {
     let mut state = with_route();
-    state.fold(2, &record(10, accept(item("m1", "clinic", operation(1)))));
-    state.fold(3, &record(20, accept(item("m2", "shop", operation(2)))));
-    state.fold(4, &record(30, answer(2, Outcome::Done)));
+    state.apply(2, &record(10, accept(item("m1", "clinic", operation(1)))));
+    state.apply(3, &record(20, accept(item("m2", "shop", operation(2)))));
+    state.apply(4, &record(30, answer(2, Outcome::Done)));
     let mut restored = PartitionState::restore(&state.snapshot(), RETENTION).expect("a good snapshot");
     for low in [1, 2] {
         let again = item("m9", "clinic", operation(low));
@@ -120,7 +120,7 @@
     // Both forget at the same record.
     let late = 31 + WINDOW * 5 / 4;
     for s in [&mut state, &mut restored] {
-        s.fold(5, &record(late, accept(item("m3", "clinic", operation(3)))));
+        s.apply(5, &record(late, accept(item("m3", "clinic", operation(3)))));
     }
     assert_eq!(state.digest(), restored.digest());
     assert_eq!(state.operation_count(), restored.operation_count());
@@ -130,7 +130,7 @@
 fn a_key_that_differs_shows_in_the_digest() {
     let of = |operation| {
         let mut state = with_route();
-        state.fold(2, &record(10, accept(item("m1", "clinic", operation))));
+        state.apply(2, &record(10, accept(item("m1", "clinic", operation))));
         state.digest()
     };
     assert_ne!(of(operation(1)), of(operation(2)));
@@ -141,17 +141,17 @@
 fn tenants_do_not_meet_in_ids_and_order_keys() {
     let mut state = with_route();
     let ordered = |id: &str, tenant: &str| Item { order_key: "k".into(), ..item(id, tenant, None) };
-    state.fold(2, &record(10, accept(ordered("m1", "clinic"))));
-    assert_eq!(state.fold(3, &record(11, accept(ordered("m1", "shop")))), vec![Change::Accepted(3)]);
+    state.apply(2, &record(10, accept(ordered("m1", "clinic"))));
+    assert_eq!(state.apply(3, &record(11, accept(ordered("m1", "shop")))), vec![Change::Accepted(3)]);
     assert_eq!(
-        state.fold(4, &record(12, accept(ordered("m1", "clinic")))),
+        state.apply(4, &record(12, accept(ordered("m1", "clinic")))),
         vec![Change::Duplicate { at: 4, original: 2 }]
     );
     assert_eq!((state.find("clinic", "m1"), state.find("shop", "m1"), state.find("", "m1")), (Some(2), Some(3), None));
     assert!(state.is_head(2, &state.messages[&2]) && state.is_head(3, &state.messages[&3]));
-    state.fold(5, &record(13, accept(ordered("m2", "clinic"))));
+    state.apply(5, &record(13, accept(ordered("m2", "clinic"))));
     assert!(!state.is_head(5, &state.messages[&5]));
-    assert_eq!(state.fold(6, &record(14, answer(2, Outcome::Done))), vec![Change::Ended(2), Change::Unblocked(5)]);
+    assert_eq!(state.apply(6, &record(14, answer(2, Outcome::Done))), vec![Change::Ended(2), Change::Unblocked(5)]);
     assert_eq!(state.find("clinic", "m1"), Some(2), "a settled one is found by its tenant");
 }
 
@@ -179,25 +179,25 @@
         [Change::PlacedElsewhere { placement, .. }] => (placement.partition, placement.generation),
         ref other => panic!("{other:?}"),
     };
-    assert_eq!(place_of(state.fold(2, &record(10, place(1, 5)))), (5, 1));
-    assert_eq!(place_of(state.fold(3, &record(11, place(1, 6)))), (5, 1));
-    assert_eq!(place_of(state.fold(4, &record(12, accept(item("m1", "clinic", operation(1)))))), (5, 1));
+    assert_eq!(place_of(state.apply(2, &record(10, place(1, 5)))), (5, 1));
+    assert_eq!(place_of(state.apply(3, &record(11, place(1, 6)))), (5, 1));
+    assert_eq!(place_of(state.apply(4, &record(12, accept(item("m1", "clinic", operation(1)))))), (5, 1));
     assert!(state.messages.is_empty(), "what is placed elsewhere is not kept here");
-    assert_eq!(state.fold(5, &record(13, accept(item("m2", "clinic", operation(2))))), vec![Change::Accepted(5)]);
-    assert_eq!(state.fold(6, &record(14, place(2, 5))), vec![Change::Duplicate { at: 6, original: 5 }]);
+    assert_eq!(state.apply(5, &record(13, accept(item("m2", "clinic", operation(2))))), vec![Change::Accepted(5)]);
+    assert_eq!(state.apply(6, &record(14, place(2, 5))), vec![Change::Duplicate { at: 6, original: 5 }]);
     assert_eq!(state.digest(), state.recompute_digest());
 }
 
 #[test]
 fn a_chain_that_comes_back_ends_an_older_placement_and_no_newer_one() {
     let mut state = with_route();
-    state.fold(2, &record(10, place(1, 5)));
-    let changes = state.fold(3, &record(11, place_from(subject(1), 6, 2)));
+    state.apply(2, &record(10, place(1, 5)));
+    let changes = state.apply(3, &record(11, place_from(subject(1), 6, 2)));
     assert!(matches!(changes[..], [Change::PlacedElsewhere { placement, .. }] if placement.generation == 3));
-    let late = state.fold(4, &record(12, accept_from(item("m1", "clinic", operation(1)), 2, 0)));
+    let late = state.apply(4, &record(12, accept_from(item("m1", "clinic", operation(1)), 2, 0)));
     assert!(matches!(late[..], [Change::PlacedElsewhere { .. }]), "the chain has gone on since: {late:?}");
     assert_eq!(
-        state.fold(5, &record(13, accept_from(item("m1", "clinic", operation(1)), 3, 0))),
+        state.apply(5, &record(13, accept_from(item("m1", "clinic", operation(1)), 3, 0))),
         vec![Change::Accepted(5)]
     );
     assert_eq!(state.placement_count(), 0);
@@ -209,30 +209,34 @@
     let mut state = with_route();
     let ordered = |id: &str| Item { order_key: "k".into(), ..item(id, "clinic", None) };
     let order = || PlacementSubject::Order(OrderKey { tenant: "clinic".into(), key: "k".into() });
-    state.fold(2, &record(10, accept(ordered("m1"))));
-    assert_eq!(state.fold(3, &record(11, place_from(order(), 5, 0))), vec![Change::StaysHere { at: 3 }]);
-    state.fold(4, &record(12, answer(2, Outcome::Done)));
-    let changes = state.fold(5, &record(13, place_from(order(), 5, 0)));
+    state.apply(2, &record(10, accept(ordered("m1"))));
+    assert_eq!(state.apply(3, &record(11, place_from(order(), 5, 0))), vec![Change::StaysHere { at: 3 }]);
+    state.apply(4, &record(12, answer(2, Outcome::Done)));
+    let changes = state.apply(5, &record(13, place_from(order(), 5, 0)));
     let until = 13 + HOLD * 5 / 4;
     assert!(matches!(changes[..], [Change::PlacedElsewhere { placement, .. }] if placement.until_ms == until));
-    assert_eq!(state.fold(6, &record(14, accept(ordered("m2")))), vec![Change::OrderPlacedElsewhere { at: 6 }]);
+    assert_eq!(state.apply(6, &record(14, accept(ordered("m2")))), vec![Change::OrderPlacedElsewhere { at: 6 }]);
     let other = Item { tenant: "shop".into(), ..ordered("m3") };
-    assert_eq!(state.fold(7, &record(15, accept(other))), vec![Change::Accepted(7)], "another tenant's key is another");
-    assert_eq!(state.fold(8, &record(16, accept_from(ordered("m4"), 0, 1))), vec![Change::Accepted(8)], "it is back");
+    assert_eq!(
+        state.apply(7, &record(15, accept(other))),
+        vec![Change::Accepted(7)],
+        "another tenant's key is another"
+    );
+    assert_eq!(state.apply(8, &record(16, accept_from(ordered("m4"), 0, 1))), vec![Change::Accepted(8)], "it is back");
     assert_eq!(state.digest(), state.recompute_digest());
 }
 
 #[test]
 fn a_placement_holds_for_a_window_and_a_quarter_after_it_was_last_asked_for() {
     let mut state = with_route();
-    state.fold(2, &record(10, place(1, 5)));
+    state.apply(2, &record(10, place(1, 5)));
     let asked = 10 + WINDOW;
-    state.fold(3, &record(asked, place(1, 6)));
+    state.apply(3, &record(asked, place(1, 6)));
     let last = asked + WINDOW * 5 / 4;
     let placement = state.placement_of(&subject(1), 0, last).expect("it holds");
     assert_eq!((placement.partition, placement.until_ms), (5, last));
     assert_eq!(state.placement_of(&subject(1), 0, last + 1), None);
-    state.fold(4, &record(last + 1, accept(item("m1", "clinic", operation(1)))));
+    state.apply(4, &record(last + 1, accept(item("m1", "clinic", operation(1)))));
     assert_eq!((state.placement_count(), state.operation_count()), (0, 1), "its number is bounded");
     assert_eq!(state.digest(), state.recompute_digest());
 }
@@ -240,7 +244,7 @@
 #[test]
 fn a_placement_is_written_anew_once_a_tenth_of_its_time_has_passed() {
     let mut state = with_route();
-    state.fold(2, &record(10, place(1, 5)));
+    state.apply(2, &record(10, place(1, 5)));
     let placement = state.placement_of(&subject(1), 0, 10).expect("it holds");
     assert!(!state.is_placement_due(&placement, &subject(1), 0, 10 + WINDOW / 8));
     assert!(state.is_placement_due(&placement, &subject(1), 0, 11 + WINDOW / 8));
@@ -250,8 +254,8 @@
 fn a_snapshot_carries_the_placements() {
     let mut state = with_route();
     let order = PlacementSubject::Order(OrderKey { tenant: "clinic".into(), key: "k".into() });
-    state.fold(2, &record(10, place(1, 5)));
-    state.fold(3, &record(20, place_from(order.clone(), 6, 4)));
+    state.apply(2, &record(10, place(1, 5)));
+    state.apply(3, &record(20, place_from(order.clone(), 6, 4)));
     let mut restored = PartitionState::restore(&state.snapshot(), RETENTION).expect("a good snapshot");
     for subject in [subject(1), order] {
         assert_eq!(restored.placement_of(&subject, 0, 30), state.placement_of(&subject, 0, 30));
@@ -259,11 +263,11 @@
     }
     let late = 11 + WINDOW * 5 / 4;
     for state in [&mut state, &mut restored] {
-        state.fold(4, &record(late, place(3, 7)));
+        state.apply(4, &record(late, place(3, 7)));
         assert_eq!(state.placement_count(), 2, "the first one is forgotten");
     }
     assert_eq!(state.digest(), restored.digest());
     let mut other = with_route();
-    other.fold(2, &record(10, place(1, 5)));
+    other.apply(2, &record(10, place(1, 5)));
     assert_ne!(other.digest(), state.digest(), "a placement that is missing shows");
 }
--- a/crates/partition/tests/splice.rs
+++ b/crates/partition/tests/splice.rs
@@ -96,7 +96,7 @@
                 Effect::StoodDown(_) => self.stood.push(node.into()),
                 Effect::Ask(o) => self.order(node, o),
                 Effect::Mismatch(_) => self.mismatches += 1,
-                Effect::Folded(_) => {}
+                Effect::Applied(_) => {}
             }
         }
     }
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -61,7 +61,7 @@
                         self.rpc_clients.to(&address).send(body);
                     }
                 }
-                Effect::Folded(changes) => self.handle_changes(state, partition, changes),
+                Effect::Applied(changes) => self.handle_changes(state, partition, changes),
                 Effect::TookOver { seized } => {
                     telemetry::count(if seized { "partitions_seized" } else { "partitions_taken" });
                     // Also when this node was the owner at an earlier term: what was uncommitted
