--- a/crates/front/tests/placements.rs
+++ b/crates/front/tests/placements.rs
@@ -146,7 +146,7 @@
     }
 
     fn state(&mut self, partition: u32) -> &mut PartitionState {
-        let retention = Retention { status: 1000, operations: WINDOW_MS };
+        let retention = Retention { status_ms: 1000, operations_ms: WINDOW_MS };
         self.partitions.entry(partition).or_insert_with(|| {
             let mut state = PartitionState::new(retention);
             let names = (0..3).flat_map(|name| [format!("outer-{name}"), format!("inner-{name}")]);
--- a/crates/partition/src/replica.rs
+++ b/crates/partition/src/replica.rs
@@ -117,21 +117,21 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Between epoch records.
-    pub epoch: u64,
+    pub epoch_interval_ms: u64,
     /// Over which a match must have held before a cutover.
-    pub window: u64,
+    pub match_window_ms: u64,
     /// Silence after which a follower is sent the rest again.
-    pub again: u64,
-    pub status: u64,
+    pub resend_ms: u64,
+    pub status_ms: u64,
     /// For how long operations' keys are remembered; 0 where there are none.
-    pub operations: u64,
+    pub operations_ms: u64,
     /// Bytes of records kept in memory for followers that are behind.
-    pub keep_bytes: usize,
+    pub log_cache_bytes: usize,
 }
 
 impl Timing {
     fn retention(&self) -> Retention {
-        Retention { status: self.status, operations: self.operations }
+        Retention { status_ms: self.status_ms, operations_ms: self.operations_ms }
     }
 }
 
@@ -389,15 +389,15 @@
         }
         let moving_verify = matches!(&self.moving, Some(m) if m.phase == Phase::Verify);
         let last = self.epochs.last_key_value().map_or(0, |(_, t)| *t);
-        let due = if moving_verify { self.timing.window } else { self.timing.epoch };
+        let due = if moving_verify { self.timing.match_window_ms } else { self.timing.epoch_interval_ms };
         // What has not ended measures time: the log says now and then how much has passed.
-        let timed = !self.state.pending.is_empty() && now >= last + TIME_RECORD_EPOCHS * self.timing.epoch;
+        let timed = !self.state.pending.is_empty() && now >= last + TIME_RECORD_EPOCHS * self.timing.epoch_interval_ms;
         if now >= last + due && (self.end() > self.last_epoch || moving_verify || timed) {
             self.write_epoch(at_ms, now, out);
         }
         if let Some(m) = &self.moving
             && m.phase == Phase::Verify
-            && now > m.began + 40 * self.timing.window
+            && now > m.began + 40 * self.timing.match_window_ms
         {
             telemetry::error!("partition {}: no match with {} in time, move given up", self.id, m.candidate);
             self.moving = None;
@@ -405,7 +405,7 @@
         let again: Vec<String> = self
             .joining
             .iter_mut()
-            .filter(|(_, asked)| now > **asked + self.timing.again)
+            .filter(|(_, asked)| now > **asked + self.timing.resend_ms)
             .map(|(n, asked)| {
                 *asked = now;
                 n.clone()
@@ -414,7 +414,7 @@
         for n in again {
             self.ask_join(&n, out);
         }
-        if !self.own_known && now > self.own_asked + self.timing.again {
+        if !self.own_known && now > self.own_asked + self.timing.resend_ms {
             self.ask_own(now, out);
         }
         let end = self.end();
@@ -422,7 +422,7 @@
             self.replicas.iter().chain(&self.in_sync).filter(|n| **n != self.me).cloned().collect();
         for n in names {
             let commit = self.commit;
-            let again = self.timing.again;
+            let again = self.timing.resend_ms;
             // One that is to be in sync and is not is asked where it is, even
             // when there is nothing to send.
             let out_of_sync = !self.in_sync.contains(&n) && !self.joining.contains_key(&n);
--- a/crates/partition/src/replica/follower.rs
+++ b/crates/partition/src/replica/follower.rs
@@ -22,7 +22,7 @@
             }
             // Told once: whatever else is under way joins on no better.
             let (term, end, at) = self.gap_told;
-            if (term, end) != (self.term, self.end()) || now > at + self.timing.again / 2 {
+            if (term, end) != (self.term, self.end()) || now > at + self.timing.resend_ms / 2 {
                 self.gap_told = (self.term, self.end(), now);
                 out.push(Effect::Send(m.owner.clone(), Body::EntriesAck(self.ack(true))));
             }
--- a/crates/partition/src/replica/log.rs
+++ b/crates/partition/src/replica/log.rs
@@ -47,7 +47,7 @@
 
     /// Drops from memory what every follower has and the fold is past.
     pub(super) fn trim(&mut self) {
-        if self.log_bytes <= self.timing.keep_bytes {
+        if self.log_bytes <= self.timing.log_cache_bytes {
             return;
         }
         let mut upto = self.state.position;
@@ -57,7 +57,7 @@
             }
         }
         upto = upto.min(self.durable);
-        while self.first <= upto && self.log_bytes > self.timing.keep_bytes / 2 {
+        while self.first <= upto && self.log_bytes > self.timing.log_cache_bytes / 2 {
             if let Some(e) = self.log.pop_front() {
                 self.log_bytes -= e.record.len();
                 self.base_term = e.term;
--- a/crates/partition/src/replica/replication.rs
+++ b/crates/partition/src/replica/replication.rs
@@ -157,7 +157,7 @@
             p.snapshot = 0;
             p.refused = 0;
         }
-        let refused = now < p.refused + 4 * self.timing.again;
+        let refused = now < p.refused + 4 * self.timing.resend_ms;
         p.verified = a.verified;
         p.verified_from = a.verified_from;
         if a.mismatch && !p.mismatch {
@@ -171,7 +171,7 @@
             // It may have lost its disk: what it once held does not count.
             p.acked = p.acked.min(a.durable);
             let behind = p.sent + 1 < first;
-            if behind && now < p.resent + self.timing.again {
+            if behind && now < p.resent + self.timing.resend_ms {
                 return;
             }
             self.send_to(&a.node, now, true, out);
--- a/crates/partition/src/replica/transfer.rs
+++ b/crates/partition/src/replica/transfer.rs
@@ -40,8 +40,8 @@
         let (Some(last), Some(first)) = (self.epochs.get(&p.verified), first) else {
             return false;
         };
-        now.saturating_sub(*last) <= 2 * self.timing.window.max(self.timing.epoch)
-            && last.saturating_sub(*first) >= self.timing.window
+        now.saturating_sub(*last) <= 2 * self.timing.match_window_ms.max(self.timing.epoch_interval_ms)
+            && last.saturating_sub(*first) >= self.timing.match_window_ms
     }
 
     pub(super) fn step_move(&mut self, now: u64, out: &mut Vec<Effect>) {
@@ -59,7 +59,7 @@
                 }
             }
             Phase::Granting { asked } => {
-                if now > asked + self.timing.again {
+                if now > asked + self.timing.resend_ms {
                     self.set_phase(Phase::Granting { asked: now });
                     self.ask_grant(&m, out);
                 }
--- a/crates/partition/src/state.rs
+++ b/crates/partition/src/state.rs
@@ -96,14 +96,14 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Retention {
     /// A message that has ended.
-    pub status: u64,
+    pub status_ms: u64,
     /// The key of an operation, since its first try was accepted; 0 where there are no keys.
-    pub operations: u64,
+    pub operations_ms: u64,
 }
 
 impl From<u64> for Retention {
     fn from(status: u64) -> Retention {
-        Retention { status, operations: 0 }
+        Retention { status_ms: status, operations_ms: 0 }
     }
 }
 
@@ -111,7 +111,7 @@
     /// When a message may be forgotten: nobody asks for its state any more, and its
     /// operation's key is not remembered any more.
     fn end(self, message: &Message) -> u64 {
-        let status_end = message.ended_ms + self.status * 5 / 4;
+        let status_end = message.ended_ms + self.status_ms * 5 / 4;
         match message.item.operation {
             Some(_) => status_end.max(self.operation_end(message)),
             None => status_end,
@@ -120,14 +120,14 @@
 
     /// Until when a try at a message's operation repeats it.
     fn operation_end(self, message: &Message) -> u64 {
-        message.at_ms + self.operations * 5 / 4
+        message.at_ms + self.operations_ms * 5 / 4
     }
 
     /// How long a placement holds: as long as the operation is remembered, or messages of the
     /// order key may be under way, and a quarter.
     fn placement_time(self, subject: &PlacementSubject, hold_ms: u64) -> u64 {
         match subject {
-            PlacementSubject::Operation(_) => self.operations * 5 / 4,
+            PlacementSubject::Operation(_) => self.operations_ms * 5 / 4,
             PlacementSubject::Order(_) => hold_ms + hold_ms / 4,
         }
     }
--- a/crates/partition/tests/operations.rs
+++ b/crates/partition/tests/operations.rs
@@ -6,7 +6,7 @@
 const WINDOW: u64 = 4000;
 /// How long a message of an order key may be under way.
 const HOLD: u64 = 8000;
-const RETENTION: Retention = Retention { status: 1000, operations: WINDOW };
+const RETENTION: Retention = Retention { status_ms: 1000, operations_ms: WINDOW };
 
 fn record(at_ms: u64, entry: Entry) -> Record {
     Record { at_ms, entry: Some(entry) }
--- a/crates/partition/tests/splice.rs
+++ b/crates/partition/tests/splice.rs
@@ -7,8 +7,14 @@
 use rpc::messages::*;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const TIMING: Timing =
-    Timing { epoch: 500, window: 300, again: 250, status: 100_000, operations: 60_000, keep_bytes: 1 << 20 };
+const TIMING: Timing = Timing {
+    epoch_interval_ms: 500,
+    match_window_ms: 300,
+    resend_ms: 250,
+    status_ms: 100_000,
+    operations_ms: 60_000,
+    log_cache_bytes: 1 << 20,
+};
 
 #[derive(Default, Clone)]
 struct Disk {
@@ -794,17 +800,17 @@
 fn an_owner_with_messages_that_have_not_ended_writes_how_much_time_has_passed() {
     let mut w = World::new(&["a", "b"]);
     w.message("m");
-    w.pass(10 * TIMING.epoch);
+    w.pass(10 * TIMING.epoch_interval_ms);
     let at = w.now;
-    w.pass(9 * TIMING.epoch);
+    w.pass(9 * TIMING.epoch_interval_ms);
     assert!(w.nodes["b"].reached_ms(w.now) >= at, "also while nothing else is written");
     // Once all has ended the log rests.
     let position = w.nodes["a"].state.find("", "m").expect("it is there");
     let done = AnswerRecord { position, outcome: Outcome::Done as i32, result_tag: "t".into(), attempt: position };
     w.append(Entry::Answer(done));
-    w.pass(10 * TIMING.epoch);
+    w.pass(10 * TIMING.epoch_interval_ms);
     let end = w.nodes["a"].end();
-    w.pass(20 * TIMING.epoch);
+    w.pass(20 * TIMING.epoch_interval_ms);
     assert_eq!(w.nodes["a"].end(), end);
 }
 
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -124,12 +124,12 @@
 
 fn timing(settings: &Settings) -> Timing {
     Timing {
-        epoch: (settings.constraints.quiet_ms / 8.0) as u64,
-        window: (settings.constraints.grace_s * 1000.0 / 20.0) as u64,
-        again: (settings.constraints.quiet_ms / 16.0) as u64,
-        status: (settings.constraints.status_s * 1000.0) as u64,
-        operations: (settings.constraints.key_window_s * 1000.0) as u64,
-        keep_bytes: (settings.limits.memory_mb << 20) as usize / 128,
+        epoch_interval_ms: (settings.constraints.quiet_ms / 8.0) as u64,
+        match_window_ms: (settings.constraints.grace_s * 1000.0 / 20.0) as u64,
+        resend_ms: (settings.constraints.quiet_ms / 16.0) as u64,
+        status_ms: (settings.constraints.status_s * 1000.0) as u64,
+        operations_ms: (settings.constraints.key_window_s * 1000.0) as u64,
+        log_cache_bytes: (settings.limits.memory_mb << 20) as usize / 128,
     }
 }
 
