--- a/crates/partition/src/record.rs
+++ b/crates/partition/src/record.rs
@@ -42,10 +42,10 @@
 pub struct DiskIdentity {
     /// The incarnation in which it was empty; 0 at the system's first start.
     #[prost(uint64, tag = "1")]
-    pub born: u64,
+    pub first_incarnation: u64,
     /// The last incarnation that was lived on it.
     #[prost(uint64, tag = "2")]
-    pub top: u64,
+    pub last_incarnation: u64,
     /// Found empty, and no incarnation lived on it yet.
     #[prost(bool, tag = "3")]
     pub empty: bool,
@@ -53,12 +53,13 @@
 
 impl DiskIdentity {
     /// A process begins on this disk: its incarnation, after all that were lived here.
-    pub fn live(&mut self, incarnation: u64) -> u64 {
-        let incarnation = if incarnation > self.top { incarnation } else { rpc::after(self.top) };
+    pub fn begin_incarnation(&mut self, incarnation: u64) -> u64 {
+        let incarnation =
+            if incarnation > self.last_incarnation { incarnation } else { rpc::after(self.last_incarnation) };
         if self.empty {
-            self.born = incarnation;
+            self.first_incarnation = incarnation;
         }
-        (self.top, self.empty) = (incarnation, false);
+        (self.last_incarnation, self.empty) = (incarnation, false);
         incarnation
     }
 }
--- a/crates/partition/src/replica.rs
+++ b/crates/partition/src/replica.rs
@@ -37,14 +37,14 @@
     Send(String, Body),
     /// The owner's fold has moved.
     Applied(Vec<Change>),
-    TookOver {
+    BecameOwner {
         seized: bool,
     },
     /// Not the owner any more; who is, if known.
-    StoodDown(String),
-    Ask(Order),
+    SteppedDown(String),
+    SubmitOrder(Order),
     /// The shadow state differs from what the owner's epoch record says.
-    Mismatch(u64),
+    DigestMismatch(u64),
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -266,21 +266,21 @@
     }
 
     /// Whether the owner takes new records now.
-    pub fn open(&self) -> bool {
+    pub fn is_writable(&self) -> bool {
         self.role == ReplicaRole::Owner
             && !matches!(&self.moving, Some(m) if matches!(m.phase, Phase::Stopping { .. } | Phase::Marked { .. }))
     }
 
     /// Whether the fold holds all that may have been committed before this node
     /// became owner: until then it cannot say that a message is not known.
-    pub fn caught_up(&self) -> bool {
+    pub fn is_caught_up(&self) -> bool {
         self.state.position >= self.took_at
     }
 
     /// Whether the owner can say what becomes of a run: what the log may hold of it is
     /// folded. Before that a message that is not there need not be one that has ended.
-    pub fn takes_reports(&self) -> bool {
-        self.open() && self.caught_up()
+    pub fn accepts_reports(&self) -> bool {
+        self.is_writable() && self.is_caught_up()
     }
 
     pub fn is_moving(&self) -> bool {
@@ -300,7 +300,7 @@
     }
 
     /// The nodes in sync that have not acknowledged all of the log, which holds up its commit.
-    pub fn awaited(&self) -> Vec<&str> {
+    pub fn unacknowledged_replicas(&self) -> Vec<&str> {
         let has_all = |node: &str| self.peers.get(node).is_some_and(|peer| peer.acked >= self.end());
         self.in_sync.iter().map(String::as_str).filter(|node| *node != self.me && !has_all(node)).collect()
     }
@@ -436,7 +436,7 @@
             {
                 p.reported = now;
                 telemetry::count("followers_unheard");
-                out.push(Effect::Ask(Order {
+                out.push(Effect::SubmitOrder(Order {
                     partition: self.id,
                     term: self.term,
                     node: n.clone(),
@@ -458,7 +458,7 @@
         if self.moving.is_none() && self.replicas.iter().all(|h| self.in_sync.contains(h)) {
             for n in self.in_sync.clone() {
                 if !self.replicas.contains(&n) && n != self.me {
-                    out.push(Effect::Ask(Order {
+                    out.push(Effect::SubmitOrder(Order {
                         partition: self.id,
                         term: self.term,
                         node: n,
--- a/crates/partition/src/replica/follower.rs
+++ b/crates/partition/src/replica/follower.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl PartitionReplica {
-    pub fn entries(&mut self, m: Entries, now: u64, out: &mut Vec<Effect>) {
+    pub fn handle_entries(&mut self, m: Entries, now: u64, out: &mut Vec<Effect>) {
         if m.term < self.term || (m.term == self.term && self.role == ReplicaRole::Owner) {
             out.push(Effect::Send(m.owner.clone(), Body::EntriesAck(self.ack(false))));
             return;
@@ -74,7 +74,7 @@
         }
     }
 
-    pub fn chunk(&mut self, c: Chunk, now: u64, out: &mut Vec<Effect>) {
+    pub fn handle_chunk(&mut self, c: Chunk, now: u64, out: &mut Vec<Effect>) {
         if c.term < self.term || (c.term == self.term && self.role == ReplicaRole::Owner) {
             return;
         }
--- a/crates/partition/src/replica/log.rs
+++ b/crates/partition/src/replica/log.rs
@@ -21,7 +21,7 @@
 
     /// Adds a record; it counts once it is committed. None when closed.
     pub fn append(&mut self, record: &Record, now: u64, out: &mut Vec<Effect>) -> Option<u64> {
-        if !self.open() {
+        if !self.is_writable() {
             return None;
         }
         Some(self.put(record, now, out))
--- a/crates/partition/src/replica/ownership.rs
+++ b/crates/partition/src/replica/ownership.rs
@@ -4,7 +4,7 @@
 
 impl PartitionReplica {
     /// The majority's word on this partition.
-    pub fn assignments(&mut self, p: &Partition, now: u64, out: &mut Vec<Effect>) {
+    pub fn handle_assignment(&mut self, p: &Partition, now: u64, out: &mut Vec<Effect>) {
         if p.changed < self.told {
             // It came by another way than a newer one: an in-sync set that went back
             // would have commits that a member does not hold.
@@ -79,7 +79,7 @@
             self.peers.insert(n.clone(), Peer { sent: end, heard: now, ..Peer::default() });
         }
         out.push(Effect::Persist { del: None, put: Vec::new(), meta: self.meta(), snapshot: None, term, end });
-        out.push(Effect::TookOver { seized });
+        out.push(Effect::BecameOwner { seized });
         let names: Vec<String> = self.peers.keys().cloned().collect();
         for n in names {
             self.send_to(&n, now, true, out);
@@ -99,7 +99,7 @@
 
     pub(super) fn follow(&mut self, term: u64, owner: &str, out: &mut Vec<Effect>) {
         if self.role == ReplicaRole::Owner {
-            out.push(Effect::StoodDown(owner.to_owned()));
+            out.push(Effect::SteppedDown(owner.to_owned()));
         }
         self.role = ReplicaRole::Follower;
         self.term = term;
@@ -112,7 +112,7 @@
     }
 
     /// This process goes on in another incarnation: what it owned was another's word.
-    pub fn relive(&mut self, incarnation: u64, out: &mut Vec<Effect>) {
+    pub fn set_incarnation(&mut self, incarnation: u64, out: &mut Vec<Effect>) {
         self.incarnation = incarnation;
         if self.role == ReplicaRole::Owner {
             self.follow(self.term, "", out);
@@ -130,7 +130,7 @@
 
     pub(super) fn ask_own(&mut self, now: u64, out: &mut Vec<Effect>) {
         self.own_asked = now;
-        out.push(Effect::Ask(Order {
+        out.push(Effect::SubmitOrder(Order {
             partition: self.id,
             term: self.term,
             node: self.me.clone(),
@@ -141,9 +141,9 @@
     }
 
     /// The majority's answer to something asked.
-    pub fn ordered(&mut self, order: &Order, ack: &OrderAck, now: u64, out: &mut Vec<Effect>) {
+    pub fn handle_order_ack(&mut self, order: &Order, ack: &OrderAck, now: u64, out: &mut Vec<Effect>) {
         if let Some(p) = &ack.partition {
-            self.assignments(p, now, out);
+            self.handle_assignment(p, now, out);
         }
         let join = order.kind == OrderKind::Join as i32;
         if join && !ack.ok && !ack.refused && order.seen != self.told && self.joining.contains_key(&order.node) {
--- a/crates/partition/src/replica/replication.rs
+++ b/crates/partition/src/replica/replication.rs
@@ -117,7 +117,7 @@
     }
 
     /// The disk holds all up to `end` as it was at `term`.
-    pub fn synced(&mut self, term: u64, end: u64, now: u64, out: &mut Vec<Effect>) {
+    pub fn handle_synced(&mut self, term: u64, end: u64, now: u64, out: &mut Vec<Effect>) {
         if term != self.term && self.role == ReplicaRole::Follower && end > self.commit {
             // Written before the term changed: it may have been cut away since.
             if self.term_at(end) != Some(term) {
@@ -136,7 +136,7 @@
         }
     }
 
-    pub fn acked(&mut self, a: EntriesAck, now: u64, out: &mut Vec<Effect>) {
+    pub fn handle_entries_ack(&mut self, a: EntriesAck, now: u64, out: &mut Vec<Effect>) {
         if a.term > self.term && self.role == ReplicaRole::Owner {
             // Somebody knows a higher term: the assignments will say who.
             telemetry::count("owners_fenced");
@@ -203,7 +203,7 @@
     }
 
     pub(super) fn ask_join(&self, node: &str, out: &mut Vec<Effect>) {
-        out.push(Effect::Ask(Order {
+        out.push(Effect::SubmitOrder(Order {
             partition: self.id,
             term: self.term,
             node: node.to_owned(),
--- a/crates/partition/src/replica/transfer.rs
+++ b/crates/partition/src/replica/transfer.rs
@@ -88,7 +88,7 @@
                     self.owner = m.candidate.clone();
                     self.moving = None;
                     self.joining.clear();
-                    out.push(Effect::StoodDown(m.candidate));
+                    out.push(Effect::SteppedDown(m.candidate));
                 }
             }
         }
@@ -101,7 +101,7 @@
     }
 
     pub(super) fn ask_grant(&self, m: &Move, out: &mut Vec<Effect>) {
-        out.push(Effect::Ask(Order {
+        out.push(Effect::SubmitOrder(Order {
             partition: self.id,
             term: self.term,
             node: m.candidate.clone(),
@@ -124,7 +124,7 @@
             self.verified_from = 0;
             self.mismatch = true;
             telemetry::count("epochs_mismatched");
-            out.push(Effect::Mismatch(at));
+            out.push(Effect::DigestMismatch(at));
         }
     }
 }
--- a/crates/partition/tests/splice.rs
+++ b/crates/partition/tests/splice.rs
@@ -98,10 +98,10 @@
                     q.push_back((d, term, end));
                 }
                 Effect::Send(to, body) => self.net.push_back((to, body)),
-                Effect::TookOver { seized } => self.took.push((node.into(), self.nodes[node].term, seized)),
-                Effect::StoodDown(_) => self.stood.push(node.into()),
-                Effect::Ask(o) => self.order(node, o),
-                Effect::Mismatch(_) => self.mismatches += 1,
+                Effect::BecameOwner { seized } => self.took.push((node.into(), self.nodes[node].term, seized)),
+                Effect::SteppedDown(_) => self.stood.push(node.into()),
+                Effect::SubmitOrder(o) => self.order(node, o),
+                Effect::DigestMismatch(_) => self.mismatches += 1,
                 Effect::Applied(_) => {}
             }
         }
@@ -136,13 +136,13 @@
         }
         ack.partition = Some(c.clone());
         let node = node.to_owned();
-        self.step(&node, |m, now, out| m.ordered(&o, &ack, now, out));
+        self.step(&node, |m, now, out| m.handle_order_ack(&o, &ack, now, out));
     }
 
     fn tell(&mut self) {
         let c = self.chart.clone();
         for n in ["a", "b", "c"] {
-            self.step(n, |m, now, out| m.assignments(&c, now, out));
+            self.step(n, |m, now, out| m.handle_assignment(&c, now, out));
         }
     }
 
@@ -154,7 +154,7 @@
                 while !self.hold_sync.contains(n) && self.unsynced.get(n).is_some_and(|q| !q.is_empty()) {
                     let (d, term, end) = self.unsynced.get_mut(n).and_then(|q| q.pop_front()).expect("one is there");
                     self.disks.insert(n.into(), d);
-                    self.step(n, |m, now, out| m.synced(term, end, now, out));
+                    self.step(n, |m, now, out| m.handle_synced(term, end, now, out));
                     moved = true;
                 }
             }
@@ -164,9 +164,9 @@
                     continue;
                 }
                 self.step(&to, |m, now, out| match body {
-                    Body::Entries(e) => m.entries(e, now, out),
-                    Body::EntriesAck(a) => m.acked(a, now, out),
-                    Body::Chunk(c) => m.chunk(c, now, out),
+                    Body::Entries(e) => m.handle_entries(e, now, out),
+                    Body::EntriesAck(a) => m.handle_entries_ack(a, now, out),
+                    Body::Chunk(c) => m.handle_chunk(c, now, out),
                     _ => {}
                 });
             }
@@ -188,7 +188,7 @@
     }
 
     fn owner(&self) -> String {
-        let all: Vec<&String> = self.nodes.iter().filter(|(_, m)| m.open()).map(|(n, _)| n).collect();
+        let all: Vec<&String> = self.nodes.iter().filter(|(_, m)| m.is_writable()).map(|(n, _)| n).collect();
         assert!(all.len() <= 1, "two writers: {all:?}");
         all.first().map(|s| s.to_string()).unwrap_or_default()
     }
@@ -336,7 +336,7 @@
     w.cut.clear();
     w.pass(600);
     assert_eq!(w.owner(), "b");
-    assert!(!w.nodes["a"].open());
+    assert!(!w.nodes["a"].is_writable());
     assert!(w.message("later").is_some() && w.known("b", "later"));
 }
 
@@ -401,7 +401,7 @@
     w.cut.insert("a".into());
     w.chart = Partition { term: 5, owner: "b".into(), in_sync: vec!["b".into()], seized: true, ..w.chart.clone() };
     let c = w.chart.clone();
-    w.step("b", |m, now, out| m.assignments(&c, now, out));
+    w.step("b", |m, now, out| m.handle_assignment(&c, now, out));
     w.settle();
     w.message_at("a", "stale");
     let before = w.nodes["a"].commit;
@@ -443,7 +443,7 @@
     w.settle();
     w.chart = Partition { term: 2, owner: "b".into(), in_sync: vec!["b".into(), "a".into()], ..w.chart.clone() };
     let c = w.chart.clone();
-    w.step("b", |m, now, out| m.assignments(&c, now, out));
+    w.step("b", |m, now, out| m.handle_assignment(&c, now, out));
     w.settle();
     let commit = w.nodes["b"].commit;
     w.message_at("b", "new");
@@ -528,8 +528,8 @@
         w.net.push_front((to, body));
         let (to, body) = w.net.pop_front().expect("just put there");
         w.step(&to, |m, now, out| match body {
-            Body::Entries(e) => m.entries(e, now, out),
-            Body::EntriesAck(a) => m.acked(a, now, out),
+            Body::Entries(e) => m.handle_entries(e, now, out),
+            Body::EntriesAck(a) => m.handle_entries_ack(a, now, out),
             _ => {}
         });
     }
@@ -600,7 +600,7 @@
     w.chart.changed = 9;
     w.tell();
     w.pass(600);
-    w.step("a", |m, now, out| m.assignments(&older, now, out));
+    w.step("a", |m, now, out| m.handle_assignment(&older, now, out));
     assert_eq!(w.nodes["a"].in_sync(), ["a", "b", "c"]);
     // What c does not have is not committed.
     w.hold_sync.insert("c".into());
@@ -618,7 +618,7 @@
     let (end, commit) = (w.nodes["b"].end(), w.nodes["b"].commit);
     let (position, data) = (commit - 3, Bytes::new());
     let c = Chunk { term: 1, owner: "a".into(), position, position_term: 1, last: true, data, ..Chunk::default() };
-    w.step("b", |m, now, out| m.chunk(c, now, out));
+    w.step("b", |m, now, out| m.handle_chunk(c, now, out));
     assert_eq!((w.nodes["b"].end(), w.nodes["b"].commit), (end, commit));
     // The owner is told where it is, so that it goes on from there.
     assert!(matches!(w.net.back(), Some((to, Body::EntriesAck(a))) if to == "a" && a.durable == end));
@@ -628,13 +628,17 @@
 fn a_disk_knows_since_which_incarnation_it_holds_anything() {
     // At the very first start nothing can have been lost.
     let mut first = DiskIdentity::default();
-    assert_eq!((first.live(100), first.born), (100, 0));
-    assert_eq!((first.live(90), first.born), (101, 0), "a clock that is behind: still a later incarnation");
+    assert_eq!((first.begin_incarnation(100), first.first_incarnation), (100, 0));
+    assert_eq!(
+        (first.begin_incarnation(90), first.first_incarnation),
+        (101, 0),
+        "a clock that is behind: still a later incarnation"
+    );
     // Emptied, and its process ended twice before anybody heard of it: what it
     // joined in incarnation 101 it does not hold, though the disk is not empty any more.
     let mut emptied = DiskIdentity { empty: true, ..DiskIdentity::default() };
-    assert_eq!((emptied.live(200), emptied.born), (200, 200));
-    assert_eq!((emptied.live(300), emptied.born), (300, 200));
+    assert_eq!((emptied.begin_incarnation(200), emptied.first_incarnation), (200, 200));
+    assert_eq!((emptied.begin_incarnation(300), emptied.first_incarnation), (300, 200));
 }
 
 #[test]
@@ -648,11 +652,11 @@
     w.chart = Partition { term, owner: "b".into(), in_sync, seized: true, ..w.chart.clone() };
     w.tell();
     w.settle();
-    assert!(w.nodes["b"].open());
-    assert!(w.nodes["b"].state.position < pos && !w.nodes["b"].caught_up());
+    assert!(w.nodes["b"].is_writable());
+    assert!(w.nodes["b"].state.position < pos && !w.nodes["b"].is_caught_up());
     w.cut.clear();
     w.pass(600);
-    assert!(w.nodes["b"].caught_up() && w.known("b", "last"));
+    assert!(w.nodes["b"].is_caught_up() && w.known("b", "last"));
 }
 
 #[test]
@@ -712,10 +716,10 @@
     let ack = EntriesAck { partition: 0, term: w.chart.term, node: "c".into(), durable: held, ..EntriesAck::default() };
     let mut out = Vec::new();
     let now = w.now;
-    w.nodes.get_mut("b").expect("b").acked(ack.clone(), now, &mut out);
-    let asks = |out: &[Effect]| out.iter().any(|e| matches!(e, Effect::Ask(o) if o.node == "c"));
+    w.nodes.get_mut("b").expect("b").handle_entries_ack(ack.clone(), now, &mut out);
+    let asks = |out: &[Effect]| out.iter().any(|e| matches!(e, Effect::SubmitOrder(o) if o.node == "c"));
     assert!(!asks(&out), "{held} of {all} is not all that may have been committed");
-    w.nodes.get_mut("b").expect("b").acked(EntriesAck { durable: all, ..ack }, now, &mut out);
+    w.nodes.get_mut("b").expect("b").handle_entries_ack(EntriesAck { durable: all, ..ack }, now, &mut out);
     assert!(asks(&out), "now it holds everything");
 }
 
@@ -733,7 +737,7 @@
     let term = w.nodes["b"].term;
     let position_term = d.log[&position].term;
     let c = Chunk { term, owner: "a".into(), position, position_term, last: true, data, ..Chunk::default() };
-    w.step("b", |m, now, out| m.chunk(c, now, out));
+    w.step("b", |m, now, out| m.handle_chunk(c, now, out));
     w.settle();
     assert_eq!(w.nodes["b"].end(), end, "the owner counts on what it said that it holds");
     assert!(w.disks["b"].log.contains_key(&end));
@@ -752,12 +756,12 @@
     w.mute = true;
     w.tell();
     let b = &w.nodes["b"];
-    assert!(b.open() && !b.takes_reports(), "what it does not find may be in its log");
+    assert!(b.is_writable() && !b.accepts_reports(), "what it does not find may be in its log");
     w.chart.in_sync = vec!["b".into()];
     w.chart.changed += 1;
     w.tell();
     w.settle();
-    assert!(w.nodes["b"].takes_reports());
+    assert!(w.nodes["b"].accepts_reports());
 }
 
 /// The owner's time as its service reads it.
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -199,7 +199,7 @@
     }
     let mut disk_identity = disk_identity
         .unwrap_or(DiskIdentity { empty: metadata.is_empty() && !settings.initial_start, ..DiskIdentity::default() });
-    let incarnation = disk_identity.live(rpc::new_incarnation());
+    let incarnation = disk_identity.begin_incarnation(rpc::new_incarnation());
     // The first write: an emptied disk must be recorded as such before any other data on it makes
     // it look like an intact one.
     wal.write(vec![Op::Put(key(b'd', 0, 0), disk_identity.encode_to_vec().into())], || ());
@@ -226,7 +226,7 @@
         inner: settings.inner_addr(Role::Store),
         incarnation,
         leaving: false,
-        born: disk_identity.born,
+        born: disk_identity.first_incarnation,
         changed: 0,
     };
     let rpc_clients = RpcClients::new(silence_timeout);
@@ -285,10 +285,12 @@
     tokio::spawn(async move {
         while let Some((partition, term, end)) = synced_rx.recv().await {
             let mut state = worker.shared.lock().unwrap();
-            worker.step(&mut state, partition, |replica, now, effects| replica.synced(term, end, now, effects));
+            worker.step(&mut state, partition, |replica, now, effects| replica.handle_synced(term, end, now, effects));
             // One sync may have made several writes durable.
             while let Ok((partition, term, end)) = synced_rx.try_recv() {
-                worker.step(&mut state, partition, |replica, now, effects| replica.synced(term, end, now, effects));
+                worker.step(&mut state, partition, |replica, now, effects| {
+                    replica.handle_synced(term, end, now, effects)
+                });
             }
         }
     });
@@ -308,7 +310,7 @@
                         worker.ensure_replica(&mut state, assignment.id);
                     }
                     worker.step(&mut state, assignment.id, |replica, now, effects| {
-                        replica.assignments(assignment, now, effects)
+                        replica.handle_assignment(assignment, now, effects)
                     });
                 }
             }
--- a/crates/store/src/service/audit.rs
+++ b/crates/store/src/service/audit.rs
@@ -44,7 +44,7 @@
     fn waiting(&self, state: &StoreState) -> Waiting {
         let scheduled = state.scheduler.scheduled();
         let mut waiting = Waiting::default();
-        for replica in state.replicas.values().filter(|replica| replica.open()) {
+        for replica in state.replicas.values().filter(|replica| replica.is_writable()) {
             let recovering_up_to = state.recovering.get(&replica.id).copied().unwrap_or(0);
             for position in &replica.state.pending {
                 let key = (replica.id, *position);
@@ -56,7 +56,7 @@
                     .messages
                     .get(position)
                     .is_some_and(|message| replica.state.is_head(*position, message));
-                if *position <= recovering_up_to || !replica.caught_up() {
+                if *position <= recovering_up_to || !replica.is_caught_up() {
                     waiting.taken_over += 1;
                 } else if !is_head {
                     waiting.behind_another += 1;
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -75,7 +75,7 @@
         if partitions.len() <= 1 {
             return 1.0;
         }
-        let is_own = |partition: &&u32| state.replicas.get(partition).is_some_and(PartitionReplica::open);
+        let is_own = |partition: &&u32| state.replicas.get(partition).is_some_and(PartitionReplica::is_writable);
         let own = partitions.iter().filter(is_own).count();
         own.max(1) as f64 / partitions.len() as f64
     }
@@ -121,7 +121,7 @@
             let target_start = known.configuration.target_start_ms(name) as u64;
             while let Some(key) = state.scheduler.next_ready(&queue, now, target_start) {
                 let is_recovering = state.recovering.get(&key.0).is_some_and(|end| key.1 <= *end);
-                if is_recovering || state.replicas.get(&key.0).is_none_or(|replica| !replica.open()) {
+                if is_recovering || state.replicas.get(&key.0).is_none_or(|replica| !replica.is_writable()) {
                     // The partition was just taken over, or it is moving: retried later.
                     state.scheduler.remove_queued(key);
                     state.scheduler.delay_until(key, now + self.quiet_fraction_ms(100.0));
--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -18,7 +18,7 @@
             }
             let time = if owns { self.owner_time(state, partition) } else { 0 };
             let replica = &state.replicas[&partition];
-            if replica.open() {
+            if replica.is_writable() {
                 let mut records = Vec::new();
                 if known.configuration.revision > replica.state.revision {
                     records.push(Entry::Routes(replica.state.routes_delta(routes(&known.configuration))));
--- a/crates/store/src/service/effects.rs
+++ b/crates/store/src/service/effects.rs
@@ -62,7 +62,7 @@
                     }
                 }
                 Effect::Applied(changes) => self.handle_changes(state, partition, changes),
-                Effect::TookOver { seized } => {
+                Effect::BecameOwner { seized } => {
                     telemetry::count(if seized { "partitions_seized" } else { "partitions_taken" });
                     // Also when this node was the owner at an earlier term: what was uncommitted
                     // then may be missing from the log now.
@@ -76,15 +76,15 @@
                     );
                     tokio::spawn(self.clone().recover_attempts(partition, term, seized));
                 }
-                Effect::StoodDown(owner) => {
+                Effect::SteppedDown(owner) => {
                     telemetry::change!("partition {partition} is owned by {owner:?} now");
                     self.drop_partition_state(state, partition, &owner);
                 }
-                Effect::Ask(order) => {
+                Effect::SubmitOrder(order) => {
                     let this = self.clone();
                     tokio::spawn(async move { this.send_order(partition, order).await });
                 }
-                Effect::Mismatch(at) => {
+                Effect::DigestMismatch(at) => {
                     telemetry::error!("ALARM partition {partition}: the shadow state differs from the owner's at {at}");
                 }
             }
@@ -122,7 +122,9 @@
                 self.session.take(&ViewUpdate { leader: ack.leader.clone(), ..ViewUpdate::default() });
             }
             let mut state = self.shared.lock().unwrap();
-            self.step(&mut state, partition, |replica, now, effects| replica.ordered(&order, &ack, now, effects));
+            self.step(&mut state, partition, |replica, now, effects| {
+                replica.handle_order_ack(&order, &ack, now, effects)
+            });
             self.wake.notify_one();
         }
     }
--- a/crates/store/src/service/lease.rs
+++ b/crates/store/src/service/lease.rs
@@ -65,7 +65,7 @@
                         // effect.
                         for partition in &ack.outdated {
                             self.step(&mut guard, partition.id, |replica, now, effects| {
-                                replica.assignments(partition, now, effects)
+                                replica.handle_assignment(partition, now, effects)
                             });
                         }
                         guard.lagging_nodes = ack.lagging;
@@ -132,13 +132,13 @@
         let Some(incarnation) = self.session.relive(newer_incarnation) else { return };
         telemetry::count("incarnations_begun_again");
         // An incarnation that is not recorded on this disk ran on another disk.
-        let identity = DiskIdentity { born: incarnation, top: incarnation, empty: false };
+        let identity = DiskIdentity { first_incarnation: incarnation, last_incarnation: incarnation, empty: false };
         self.session.reborn(incarnation);
         self.wal.write(vec![Op::Put(key(b'd', 0, 0), identity.encode_to_vec().into())], || ());
         let mut guard = self.shared.lock().unwrap();
         guard.lease_until = 0;
         for partition in guard.replicas.keys().copied().collect::<Vec<_>>() {
-            self.step(&mut guard, partition, |replica, _, effects| replica.relive(incarnation, effects));
+            self.step(&mut guard, partition, |replica, _, effects| replica.set_incarnation(incarnation, effects));
         }
     }
 
--- a/crates/store/src/service/placements.rs
+++ b/crates/store/src/service/placements.rs
@@ -78,7 +78,7 @@
         }
         Some(SubjectLocation::InFlightHere) => Some(accepted(AcceptOutcome::StaysHere, 0, "")),
         // Records of a former owner may not be applied yet.
-        None if is_query && !replica.caught_up() => Some(accepted(AcceptOutcome::Elsewhere, 0, "")),
+        None if is_query && !replica.is_caught_up() => Some(accepted(AcceptOutcome::Elsewhere, 0, "")),
         None => is_query.then(|| accepted(AcceptOutcome::NotKnown, 0, "")),
     }
 }
--- a/crates/store/src/service/quota.rs
+++ b/crates/store/src/service/quota.rs
@@ -201,7 +201,7 @@
         };
         quota.counted_terms.retain(|partition, term| owns(partition, *term));
         for replica in state.replicas.values() {
-            let is_known = replica.role == ReplicaRole::Owner && replica.caught_up();
+            let is_known = replica.role == ReplicaRole::Owner && replica.is_caught_up();
             if !is_known || quota.counted_terms.contains_key(&replica.id) {
                 continue;
             }
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -63,7 +63,7 @@
                     .get(&partition)
                     .filter(|replica| replica.term == term && replica.role == ReplicaRole::Owner)
                 {
-                    Some(replica) if replica.caught_up() && self.has_owner_time(&state, partition) => break,
+                    Some(replica) if replica.is_caught_up() && self.has_owner_time(&state, partition) => break,
                     Some(_) => {}
                     None => return,
                 }
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -16,14 +16,16 @@
             }
             Body::Entries(entries) => {
                 self.ensure_replica(state, entries.partition);
-                self.step(state, entries.partition, |replica, now, effects| replica.entries(entries, now, effects));
+                self.step(state, entries.partition, |replica, now, effects| {
+                    replica.handle_entries(entries, now, effects)
+                });
             }
             Body::EntriesAck(ack) => {
-                self.step(state, ack.partition, |replica, now, effects| replica.acked(ack, now, effects))
+                self.step(state, ack.partition, |replica, now, effects| replica.handle_entries_ack(ack, now, effects))
             }
             Body::Chunk(chunk) => {
                 self.ensure_replica(state, chunk.partition);
-                self.step(state, chunk.partition, |replica, now, effects| replica.chunk(chunk, now, effects));
+                self.step(state, chunk.partition, |replica, now, effects| replica.handle_chunk(chunk, now, effects));
             }
             Body::Status(_) => responder.send(Body::StatusAck(StatusAck { json: self.status(state) })),
             _ => {}
@@ -113,7 +115,7 @@
     /// ask, which is empty if not known.
     pub(super) fn other_owner(&self, state: &StoreState, partition: u32) -> Option<String> {
         match state.replicas.get(&partition) {
-            Some(replica) if replica.open() && self.has_lease(state) => None,
+            Some(replica) if replica.is_writable() && self.has_lease(state) => None,
             Some(replica) if replica.owner != self.settings.node => Some(replica.owner.clone()),
             _ => Some(String::new()),
         }
@@ -147,7 +149,7 @@
     pub(super) fn report(self: &Arc<Self>, state: &mut StoreState, report: Report, responder: Responder) {
         let key = (report.partition, report.position);
         let now = self.now();
-        if state.replicas.get(&key.0).is_none_or(|replica| !replica.takes_reports())
+        if state.replicas.get(&key.0).is_none_or(|replica| !replica.accepts_reports())
             || !self.has_owner_time(state, key.0)
         {
             responder.send(Body::ReportAck(ReportAck { kept: false }));
@@ -280,7 +282,7 @@
         let position = if request.id.is_empty() { Some(request.position) } else { by_id() };
         match position.and_then(|position| replica.state.messages.get(&position)) {
             Some(message) if is_owner || request.body => self.found(message, request, is_owner),
-            None if is_owner && replica.caught_up() => Found { owner: true, ..Found::default() },
+            None if is_owner && replica.is_caught_up() => Found { owner: true, ..Found::default() },
             _ => Found::default(),
         }
     }
@@ -319,7 +321,7 @@
                 replica.state.pending.len(),
                 replica.state.messages.len(),
                 replica.is_moving(),
-                if replica.role == ReplicaRole::Owner { replica.awaited() } else { Vec::new() }
+                if replica.role == ReplicaRole::Owner { replica.unacknowledged_replicas() } else { Vec::new() }
             );
         }
         let _ = write!(
