--- a/crates/partition/src/replica.rs
+++ b/crates/partition/src/replica.rs
@@ -64,48 +64,48 @@
 struct Peer {
     sent: u64,
     acked: u64,
-    told_commit: u64,
-    heard: u64,
-    resent: u64,
+    sent_commit: u64,
+    last_heard: u64,
+    last_resent: u64,
     verified: u64,
     verified_from: u64,
     mismatch: bool,
     /// A snapshot is under way up to this position.
-    snapshot: u64,
+    snapshot_position: u64,
     incarnation: u64,
     /// When the majority last refused to count it in.
-    refused: u64,
+    join_refused_at: u64,
     /// When it was last heard, or held all there was.
-    level: u64,
+    silent_since: u64,
     /// When another node was last asked for in its place.
-    reported: u64,
+    replace_requested_at: u64,
 }
 
 impl Peer {
     /// One that is presumed to be level now.
     fn new(now: u64) -> Peer {
-        Peer { heard: now, level: now, ..Peer::default() }
+        Peer { last_heard: now, silent_since: now, ..Peer::default() }
     }
 }
 
 /// A follower in sync that has owed an acknowledgement for so many times `again`, with nothing
 /// heard from it, is to be replaced, if it was heard before: one that never was may be starting. A process that has ended is known to the leader much
 /// sooner, by its lease; what is left are links that are cut between this pair of nodes.
-const UNHEARD: u64 = 3;
+const REPLACE_AFTER_RESENDS: u64 = 3;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
-    Verify,
-    Granting { asked: u64 },
+    Verifying,
+    RequestingGrant { requested_at: u64 },
     Stopping { term: u64, in_sync: Vec<String> },
-    Marked { at: u64 },
+    StopWritten { position: u64 },
 }
 
 #[derive(Clone, Debug)]
-struct Move {
+struct PlannedMove {
     candidate: String,
     leaving: bool,
-    began: u64,
+    started_at: u64,
     phase: Phase,
 }
 
@@ -137,12 +137,12 @@
 
 pub struct PartitionReplica {
     pub id: u32,
-    me: String,
+    node: String,
     /// This process's incarnation.
     pub incarnation: u64,
     pub term: u64,
     pub role: ReplicaRole,
-    first: u64,
+    first_position: u64,
     base_term: u64,
     disk_base: u64,
     disk_base_term: u64,
@@ -156,8 +156,8 @@
     in_sync: Vec<String>,
     joining: HashMap<String, u64>,
     peers: HashMap<String, Peer>,
-    moving: Option<Move>,
-    epochs: BTreeMap<u64, u64>,
+    planned_move: Option<PlannedMove>,
+    epoch_times: BTreeMap<u64, u64>,
     last_epoch: u64,
     digests: VecDeque<(u64, u64)>,
     pub verified: u64,
@@ -166,15 +166,15 @@
     /// Up to here the log is known to be the owner's, at this term.
     matched: u64,
     /// The gap that was told last: term, end, and when.
-    gap_told: (u64, u64, u64),
-    chunks: Vec<Bytes>,
-    chunk_from: (u64, u64),
-    own_asked: u64,
-    own_known: bool,
+    last_gap_report: (u64, u64, u64),
+    snapshot_chunks: Vec<Bytes>,
+    incoming_snapshot: (u64, u64),
+    ownership_requested_at: u64,
+    ownership_confirmed: bool,
     /// The majority's entry that its last word came from: older ones say nothing.
-    told: u64,
+    assignment_version: u64,
     /// Where the log ended when this node became owner.
-    took_at: u64,
+    takeover_end: u64,
     timing: Timing,
     since_snapshot: usize,
     clock: PartitionClock,
@@ -184,11 +184,11 @@
     pub fn new(id: u32, me: &str, timing: Timing) -> PartitionReplica {
         PartitionReplica {
             id,
-            me: me.into(),
+            node: me.into(),
             incarnation: 0,
             term: 0,
             role: ReplicaRole::Follower,
-            first: 1,
+            first_position: 1,
             base_term: 0,
             disk_base: 0,
             disk_base_term: 0,
@@ -202,21 +202,21 @@
             in_sync: Vec::new(),
             joining: HashMap::new(),
             peers: HashMap::new(),
-            moving: None,
-            epochs: BTreeMap::new(),
+            planned_move: None,
+            epoch_times: BTreeMap::new(),
             last_epoch: 0,
             digests: VecDeque::new(),
             verified: 0,
             verified_from: 0,
             mismatch: false,
             matched: 0,
-            gap_told: (0, 0, 0),
-            chunks: Vec::new(),
-            chunk_from: (0, 0),
-            own_asked: 0,
-            own_known: false,
-            told: 0,
-            took_at: 0,
+            last_gap_report: (0, 0, 0),
+            snapshot_chunks: Vec::new(),
+            incoming_snapshot: (0, 0),
+            ownership_requested_at: 0,
+            ownership_confirmed: false,
+            assignment_version: 0,
+            takeover_end: 0,
             timing,
             since_snapshot: 0,
             clock: PartitionClock::default(),
@@ -244,12 +244,12 @@
         } else if meta.base != 0 {
             return Err(format!("partition {id}: the snapshot of {} is missing", meta.base));
         }
-        m.first = meta.base + 1;
+        m.first_position = meta.base + 1;
         m.base_term = meta.base_term;
         m.disk_base = meta.base;
         m.disk_base_term = meta.base_term;
         for (pos, e) in entries {
-            if pos < m.first {
+            if pos < m.first_position {
                 continue;
             }
             if pos != m.end() + 1 {
@@ -261,20 +261,20 @@
         m.since_snapshot = m.log_bytes;
         m.durable = m.end();
         m.commit = meta.commit.clamp(meta.base, m.end());
-        m.fold_on(0, false, &mut Vec::new())?;
+        m.apply_committed(0, false, &mut Vec::new())?;
         Ok(m)
     }
 
     /// Whether the owner takes new records now.
     pub fn is_writable(&self) -> bool {
         self.role == ReplicaRole::Owner
-            && !matches!(&self.moving, Some(m) if matches!(m.phase, Phase::Stopping { .. } | Phase::Marked { .. }))
+            && !matches!(&self.planned_move, Some(m) if matches!(m.phase, Phase::Stopping { .. } | Phase::StopWritten { .. }))
     }
 
     /// Whether the fold holds all that may have been committed before this node
     /// became owner: until then it cannot say that a message is not known.
     pub fn is_caught_up(&self) -> bool {
-        self.state.position >= self.took_at
+        self.state.position >= self.takeover_end
     }
 
     /// Whether the owner can say what becomes of a run: what the log may hold of it is
@@ -284,7 +284,7 @@
     }
 
     pub fn is_moving(&self) -> bool {
-        self.moving.is_some()
+        self.planned_move.is_some()
     }
 
     /// The followers that a planned move could go to, best first.
@@ -292,7 +292,7 @@
         let mut all: Vec<String> = self
             .in_sync
             .iter()
-            .filter(|n| **n != self.me && self.peers.get(*n).is_some_and(|p| !p.mismatch))
+            .filter(|n| **n != self.node && self.peers.get(*n).is_some_and(|p| !p.mismatch))
             .cloned()
             .collect();
         all.sort_by_key(|n| self.replicas.iter().position(|h| h == n).unwrap_or(usize::MAX));
@@ -302,7 +302,7 @@
     /// The nodes in sync that have not acknowledged all of the log, which holds up its commit.
     pub fn unacknowledged_replicas(&self) -> Vec<&str> {
         let has_all = |node: &str| self.peers.get(node).is_some_and(|peer| peer.acked >= self.end());
-        self.in_sync.iter().map(String::as_str).filter(|node| *node != self.me && !has_all(node)).collect()
+        self.in_sync.iter().map(String::as_str).filter(|node| *node != self.node && !has_all(node)).collect()
     }
 
     pub fn in_sync(&self) -> &[String] {
@@ -311,7 +311,7 @@
 
     // ---- the owner's side ----
 
-    fn fold_on(&mut self, now: u64, live: bool, out: &mut Vec<Effect>) -> Result<(), String> {
+    fn apply_committed(&mut self, now: u64, live: bool, out: &mut Vec<Effect>) -> Result<(), String> {
         let mut changes = Vec::new();
         while self.state.position < self.commit {
             let pos = self.state.position + 1;
@@ -329,17 +329,17 @@
             for c in found {
                 match &c {
                     Change::Epoch { at, digest } if self.role == ReplicaRole::Follower => {
-                        self.compare(pos, *at, *digest, out)
+                        self.compare_digest(pos, *at, *digest, out)
                     }
                     Change::Stopped(s)
                         if live
                             && self.role == ReplicaRole::Follower
-                            && s.candidate == self.me
+                            && s.candidate == self.node
                             && s.term > self.term
                             && s.splice == pos =>
                     {
                         changes.clear();
-                        self.resume(now, s.clone(), out);
+                        self.take_over_at_stop(now, s.clone(), out);
                     }
                     _ => {}
                 }
@@ -387,20 +387,20 @@
         if self.role != ReplicaRole::Owner {
             return;
         }
-        let moving_verify = matches!(&self.moving, Some(m) if m.phase == Phase::Verify);
-        let last = self.epochs.last_key_value().map_or(0, |(_, t)| *t);
+        let moving_verify = matches!(&self.planned_move, Some(m) if m.phase == Phase::Verifying);
+        let last = self.epoch_times.last_key_value().map_or(0, |(_, t)| *t);
         let due = if moving_verify { self.timing.match_window_ms } else { self.timing.epoch_interval_ms };
         // What has not ended measures time: the log says now and then how much has passed.
         let timed = !self.state.pending.is_empty() && now >= last + TIME_RECORD_EPOCHS * self.timing.epoch_interval_ms;
         if now >= last + due && (self.end() > self.last_epoch || moving_verify || timed) {
             self.write_epoch(at_ms, now, out);
         }
-        if let Some(m) = &self.moving
-            && m.phase == Phase::Verify
-            && now > m.began + 40 * self.timing.match_window_ms
+        if let Some(m) = &self.planned_move
+            && m.phase == Phase::Verifying
+            && now > m.started_at + 40 * self.timing.match_window_ms
         {
             telemetry::error!("partition {}: no match with {} in time, move given up", self.id, m.candidate);
-            self.moving = None;
+            self.planned_move = None;
         }
         let again: Vec<String> = self
             .joining
@@ -412,14 +412,14 @@
             })
             .collect();
         for n in again {
-            self.ask_join(&n, out);
+            self.request_join(&n, out);
         }
-        if !self.own_known && now > self.own_asked + self.timing.resend_ms {
-            self.ask_own(now, out);
+        if !self.ownership_confirmed && now > self.ownership_requested_at + self.timing.resend_ms {
+            self.request_ownership(now, out);
         }
         let end = self.end();
         let names: Vec<String> =
-            self.replicas.iter().chain(&self.in_sync).filter(|n| **n != self.me).cloned().collect();
+            self.replicas.iter().chain(&self.in_sync).filter(|n| **n != self.node).cloned().collect();
         for n in names {
             let commit = self.commit;
             let again = self.timing.resend_ms;
@@ -428,13 +428,13 @@
             let out_of_sync = !self.in_sync.contains(&n) && !self.joining.contains_key(&n);
             let p = self.peers.entry(n.clone()).or_insert_with(|| Peer::new(now));
             if p.acked >= end {
-                p.level = now;
+                p.silent_since = now;
             } else if !out_of_sync
                 && self.replicas.contains(&n)
                 && p.incarnation != 0
-                && now > p.level.max(p.reported) + UNHEARD * again
+                && now > p.silent_since.max(p.replace_requested_at) + REPLACE_AFTER_RESENDS * again
             {
-                p.reported = now;
+                p.replace_requested_at = now;
                 telemetry::count("followers_unheard");
                 out.push(Effect::SubmitOrder(Order {
                     partition: self.id,
@@ -444,20 +444,20 @@
                     ..Order::default()
                 }));
             }
-            if (p.acked < end || out_of_sync) && now > p.heard.max(p.resent) + again {
+            if (p.acked < end || out_of_sync) && now > p.last_heard.max(p.last_resent) + again {
                 // Lost on the way, or the node is new here: say where we are.
-                p.resent = now;
-                p.snapshot = 0;
-                p.sent = p.acked.max(self.first - 1).min(end);
+                p.last_resent = now;
+                p.snapshot_position = 0;
+                p.sent = p.acked.max(self.first_position - 1).min(end);
                 self.send_to(&n, now, true, out);
-            } else if p.told_commit < commit && p.sent >= end {
+            } else if p.sent_commit < commit && p.sent >= end {
                 self.send_to(&n, now, true, out);
             }
         }
         // Nodes that are to hold nothing any more.
-        if self.moving.is_none() && self.replicas.iter().all(|h| self.in_sync.contains(h)) {
+        if self.planned_move.is_none() && self.replicas.iter().all(|h| self.in_sync.contains(h)) {
             for n in self.in_sync.clone() {
-                if !self.replicas.contains(&n) && n != self.me {
+                if !self.replicas.contains(&n) && n != self.node {
                     out.push(Effect::SubmitOrder(Order {
                         partition: self.id,
                         term: self.term,
@@ -468,7 +468,7 @@
                 }
             }
         }
-        self.step_move(now, out);
+        self.advance_move(now, out);
         self.flush(now, out);
     }
 }
--- a/crates/partition/src/replica/follower.rs
+++ b/crates/partition/src/replica/follower.rs
@@ -9,21 +9,21 @@
             return;
         }
         if m.term > self.term {
-            self.follow(m.term, &m.owner, out);
+            self.become_follower(m.term, &m.owner, out);
         }
         self.owner.clone_from(&m.owner);
         self.clock.observe_owner_time(m.time_ms, now);
         let end = self.end();
-        let joins = m.prev <= end && (m.prev + 1 < self.first || self.term_at(m.prev) == Some(m.prev_term));
+        let joins = m.prev <= end && (m.prev + 1 < self.first_position || self.term_at(m.prev) == Some(m.prev_term));
         if !joins {
             if m.prev <= end {
                 // What is behind the committed part may be another term's.
-                self.cut_to(self.commit.max(self.first - 1), out);
+                self.truncate_after(self.commit.max(self.first_position - 1), out);
             }
             // Told once: whatever else is under way joins on no better.
-            let (term, end, at) = self.gap_told;
+            let (term, end, at) = self.last_gap_report;
             if (term, end) != (self.term, self.end()) || now > at + self.timing.resend_ms / 2 {
-                self.gap_told = (self.term, self.end(), now);
+                self.last_gap_report = (self.term, self.end(), now);
                 out.push(Effect::Send(m.owner.clone(), Body::EntriesAck(self.ack(true))));
             }
             return;
@@ -32,12 +32,12 @@
         let mut pos = m.prev;
         for e in m.entries {
             pos += 1;
-            if pos < self.first {
+            if pos < self.first_position {
                 continue;
             }
             match self.term_at(pos) {
                 Some(t) if t == e.term => continue,
-                Some(_) => self.cut_to(pos - 1, out),
+                Some(_) => self.truncate_after(pos - 1, out),
                 None => {}
             }
             self.log_bytes += e.record.len();
@@ -52,7 +52,7 @@
             let end = self.end();
             out.push(Effect::Persist { del: None, put, meta: self.meta(), snapshot: None, term: self.term, end });
         }
-        if let Err(e) = self.fold_on(now, true, out) {
+        if let Err(e) = self.apply_committed(now, true, out) {
             telemetry::error!("{e}");
         }
         if !fresh && self.role == ReplicaRole::Follower {
@@ -64,7 +64,7 @@
         EntriesAck {
             partition: self.id,
             term: self.term,
-            node: self.me.clone(),
+            node: self.node.clone(),
             durable: if gap { self.end() } else { self.durable.min(self.matched) },
             gap,
             verified: self.verified,
@@ -79,7 +79,7 @@
             return;
         }
         if c.term > self.term {
-            self.follow(c.term, &c.owner, out);
+            self.become_follower(c.term, &c.owner, out);
         }
         self.owner.clone_from(&c.owner);
         if c.position <= self.commit || self.term_at(c.position) == Some(c.position_term) {
@@ -87,7 +87,7 @@
             if c.last {
                 self.matched = self.matched.max(c.position);
                 self.commit = self.commit.max(c.position);
-                if let Err(e) = self.fold_on(now, true, out) {
+                if let Err(e) = self.apply_committed(now, true, out) {
                     telemetry::error!("{e}");
                 }
                 let ack = self.ack(false);
@@ -96,21 +96,21 @@
             return;
         }
         if c.part == 0 {
-            self.chunks.clear();
-            self.chunk_from = (c.term, c.position);
+            self.snapshot_chunks.clear();
+            self.incoming_snapshot = (c.term, c.position);
         }
-        if self.chunk_from != (c.term, c.position) || self.chunks.len() != c.part as usize {
+        if self.incoming_snapshot != (c.term, c.position) || self.snapshot_chunks.len() != c.part as usize {
             return;
         }
-        self.chunks.push(c.data);
+        self.snapshot_chunks.push(c.data);
         if !c.last {
             // So that the owner sees it coming and does not begin again.
             let ack = self.ack(false);
             out.push(Effect::Send(self.owner.clone(), Body::EntriesAck(ack)));
             return;
         }
-        let data: Bytes = self.chunks.concat().into();
-        self.chunks.clear();
+        let data: Bytes = self.snapshot_chunks.concat().into();
+        self.snapshot_chunks.clear();
         let restored = Snapshot::decode(data.clone())
             .map_err(|e| e.to_string())
             .and_then(|s| PartitionState::restore(&s, self.timing.retention()));
@@ -127,7 +127,7 @@
         self.log.clear();
         self.log_bytes = 0;
         self.since_snapshot = 0;
-        self.first = c.position + 1;
+        self.first_position = c.position + 1;
         self.base_term = c.position_term;
         self.disk_base = c.position;
         self.disk_base_term = c.position_term;
--- a/crates/partition/src/replica/log.rs
+++ b/crates/partition/src/replica/log.rs
@@ -4,15 +4,15 @@
 
 impl PartitionReplica {
     pub fn end(&self) -> u64 {
-        self.first + self.log.len() as u64 - 1
+        self.first_position + self.log.len() as u64 - 1
     }
 
     pub(super) fn entry(&self, pos: u64) -> Option<&LogEntry> {
-        pos.checked_sub(self.first).and_then(|i| self.log.get(i as usize))
+        pos.checked_sub(self.first_position).and_then(|i| self.log.get(i as usize))
     }
 
     pub(super) fn term_at(&self, pos: u64) -> Option<u64> {
-        if pos + 1 == self.first { Some(self.base_term) } else { self.entry(pos).map(|e| e.term) }
+        if pos + 1 == self.first_position { Some(self.base_term) } else { self.entry(pos).map(|e| e.term) }
     }
 
     pub(super) fn meta(&self) -> Meta {
@@ -24,10 +24,10 @@
         if !self.is_writable() {
             return None;
         }
-        Some(self.put(record, now, out))
+        Some(self.append_to_log(record, now, out))
     }
 
-    pub(super) fn put(&mut self, record: &Record, now: u64, out: &mut Vec<Effect>) -> u64 {
+    pub(super) fn append_to_log(&mut self, record: &Record, now: u64, out: &mut Vec<Effect>) -> u64 {
         let e = LogEntry { term: self.term, record: record.encode_to_vec().into() };
         let pos = self.end() + 1;
         self.log_bytes += e.record.len();
@@ -52,16 +52,16 @@
         }
         let mut upto = self.state.position;
         if self.role == ReplicaRole::Owner {
-            for n in self.in_sync.iter().filter(|n| **n != self.me) {
+            for n in self.in_sync.iter().filter(|n| **n != self.node) {
                 upto = upto.min(self.peers.get(n).map_or(0, |p| p.acked));
             }
         }
         upto = upto.min(self.durable);
-        while self.first <= upto && self.log_bytes > self.timing.log_cache_bytes / 2 {
+        while self.first_position <= upto && self.log_bytes > self.timing.log_cache_bytes / 2 {
             if let Some(e) = self.log.pop_front() {
                 self.log_bytes -= e.record.len();
                 self.base_term = e.term;
-                self.first += 1;
+                self.first_position += 1;
             }
         }
     }
@@ -89,7 +89,7 @@
         });
     }
 
-    pub(super) fn cut_to(&mut self, pos: u64, out: &mut Vec<Effect>) {
+    pub(super) fn truncate_after(&mut self, pos: u64, out: &mut Vec<Effect>) {
         let end = self.end();
         if pos >= end || pos < self.commit {
             return;
--- a/crates/partition/src/replica/ownership.rs
+++ b/crates/partition/src/replica/ownership.rs
@@ -5,78 +5,86 @@
 impl PartitionReplica {
     /// The majority's word on this partition.
     pub fn handle_assignment(&mut self, p: &Partition, now: u64, out: &mut Vec<Effect>) {
-        if p.changed < self.told {
+        if p.changed < self.assignment_version {
             // It came by another way than a newer one: an in-sync set that went back
             // would have commits that a member does not hold.
             telemetry::count("assignments_outdated");
             return;
         }
-        self.told = p.changed;
+        self.assignment_version = p.changed;
         self.replicas.clone_from(&p.replicas);
         if p.term > self.term {
-            if p.owner == self.me {
-                if !p.in_sync.contains(&self.me) || p.joined_incarnation(&self.me) != self.incarnation {
+            if p.owner == self.node {
+                if !p.in_sync.contains(&self.node) || p.joined_incarnation(&self.node) != self.incarnation {
                     // Said of a former incarnation, whose disk this one may not have.
-                    self.follow(p.term, "", out);
+                    self.become_follower(p.term, "", out);
                     return;
                 }
-                self.own(p.term, p.in_sync.clone(), p.seized, now, out);
-                self.own_known = true;
+                self.become_owner(p.term, p.in_sync.clone(), p.seized, now, out);
+                self.ownership_confirmed = true;
             } else {
-                self.follow(p.term, &p.owner, out);
+                self.become_follower(p.term, &p.owner, out);
             }
         } else if p.term == self.term {
-            if self.role == ReplicaRole::Owner && p.owner == self.me {
-                self.own_known = true;
+            if self.role == ReplicaRole::Owner && p.owner == self.node {
+                self.ownership_confirmed = true;
                 if self.in_sync != p.in_sync {
                     self.in_sync.clone_from(&p.in_sync);
                     self.joining.retain(|n, _| !p.in_sync.contains(n));
-                    self.advance(now, out);
+                    self.advance_commit(now, out);
                 }
                 match &p.grant {
                     Some(g) => {
                         let stopping = Phase::Stopping { term: g.term, in_sync: g.in_sync.clone() };
-                        match &mut self.moving {
+                        match &mut self.planned_move {
                             Some(m) if m.candidate == g.candidate => {
-                                if !matches!(m.phase, Phase::Marked { .. }) {
+                                if !matches!(m.phase, Phase::StopWritten { .. }) {
                                     m.phase = stopping;
                                 }
                             }
                             _ => {
                                 let candidate = g.candidate.clone();
-                                self.moving = Some(Move { candidate, leaving: false, began: now, phase: stopping });
+                                self.planned_move =
+                                    Some(PlannedMove { candidate, leaving: false, started_at: now, phase: stopping });
                             }
                         }
-                        self.step_move(now, out);
+                        self.advance_move(now, out);
                     }
                     None => {
-                        if matches!(&self.moving, Some(m) if matches!(m.phase, Phase::Stopping { .. })) {
+                        if matches!(&self.planned_move, Some(m) if matches!(m.phase, Phase::Stopping { .. })) {
                             // Granted by an answer that was ahead of this news.
                         }
                     }
                 }
-            } else if self.role == ReplicaRole::Follower && p.owner != self.me {
+            } else if self.role == ReplicaRole::Follower && p.owner != self.node {
                 self.owner.clone_from(&p.owner);
             }
         }
     }
 
-    pub(super) fn own(&mut self, term: u64, in_sync: Vec<String>, seized: bool, now: u64, out: &mut Vec<Effect>) {
+    pub(super) fn become_owner(
+        &mut self,
+        term: u64,
+        in_sync: Vec<String>,
+        seized: bool,
+        now: u64,
+        out: &mut Vec<Effect>,
+    ) {
         self.term = term;
         self.role = ReplicaRole::Owner;
-        self.owner = self.me.clone();
+        self.owner = self.node.clone();
         self.in_sync = in_sync;
         self.joining.clear();
         self.peers.clear();
-        self.moving = None;
-        self.epochs.clear();
-        self.chunks.clear();
+        self.planned_move = None;
+        self.epoch_times.clear();
+        self.snapshot_chunks.clear();
         self.read_uncommitted_times(now);
         // Followers say themselves where they are.
         let end = self.end();
-        self.took_at = end;
-        for n in self.replicas.iter().chain(&self.in_sync).filter(|n| **n != self.me) {
-            self.peers.insert(n.clone(), Peer { sent: end, heard: now, ..Peer::default() });
+        self.takeover_end = end;
+        for n in self.replicas.iter().chain(&self.in_sync).filter(|n| **n != self.node) {
+            self.peers.insert(n.clone(), Peer { sent: end, last_heard: now, ..Peer::default() });
         }
         out.push(Effect::Persist { del: None, put: Vec::new(), meta: self.meta(), snapshot: None, term, end });
         out.push(Effect::BecameOwner { seized });
@@ -84,7 +92,7 @@
         for n in names {
             self.send_to(&n, now, true, out);
         }
-        self.advance(now, out);
+        self.advance_commit(now, out);
     }
 
     /// What the log holds behind the committed part may have been written in its time too.
@@ -97,7 +105,7 @@
         }
     }
 
-    pub(super) fn follow(&mut self, term: u64, owner: &str, out: &mut Vec<Effect>) {
+    pub(super) fn become_follower(&mut self, term: u64, owner: &str, out: &mut Vec<Effect>) {
         if self.role == ReplicaRole::Owner {
             out.push(Effect::SteppedDown(owner.to_owned()));
         }
@@ -105,7 +113,7 @@
         self.term = term;
         self.matched = self.commit;
         self.owner = owner.to_owned();
-        self.moving = None;
+        self.planned_move = None;
         self.joining.clear();
         self.verified = 0;
         self.verified_from = 0;
@@ -115,25 +123,25 @@
     pub fn set_incarnation(&mut self, incarnation: u64, out: &mut Vec<Effect>) {
         self.incarnation = incarnation;
         if self.role == ReplicaRole::Owner {
-            self.follow(self.term, "", out);
+            self.become_follower(self.term, "", out);
         }
     }
 
     /// The candidate saw the committed stop marker that names it.
-    pub(super) fn resume(&mut self, now: u64, s: Stop, out: &mut Vec<Effect>) {
+    pub(super) fn take_over_at_stop(&mut self, now: u64, s: Stop, out: &mut Vec<Effect>) {
         telemetry::count("splices_resumed");
         telemetry::change!("partition {} spliced at {}: owner at term {}", self.id, s.splice, s.term);
-        self.own(s.term, s.in_sync, false, now, out);
-        self.own_known = false;
-        self.ask_own(now, out);
+        self.become_owner(s.term, s.in_sync, false, now, out);
+        self.ownership_confirmed = false;
+        self.request_ownership(now, out);
     }
 
-    pub(super) fn ask_own(&mut self, now: u64, out: &mut Vec<Effect>) {
-        self.own_asked = now;
+    pub(super) fn request_ownership(&mut self, now: u64, out: &mut Vec<Effect>) {
+        self.ownership_requested_at = now;
         out.push(Effect::SubmitOrder(Order {
             partition: self.id,
             term: self.term,
-            node: self.me.clone(),
+            node: self.node.clone(),
             kind: OrderKind::Own as i32,
             incarnation: self.incarnation,
             ..Order::default()
@@ -146,20 +154,25 @@
             self.handle_assignment(p, now, out);
         }
         let join = order.kind == OrderKind::Join as i32;
-        if join && !ack.ok && !ack.refused && order.seen != self.told && self.joining.contains_key(&order.node) {
+        if join
+            && !ack.ok
+            && !ack.refused
+            && order.seen != self.assignment_version
+            && self.joining.contains_key(&order.node)
+        {
             // Asked by an older word on this partition: at once by the newer one.
             self.joining.insert(order.node.clone(), now);
-            self.ask_join(&order.node, out);
+            self.request_join(&order.node, out);
         }
         if ack.refused && order.term == self.term {
             match OrderKind::try_from(order.kind) {
-                Ok(OrderKind::Grant) => self.moving = None,
+                Ok(OrderKind::Grant) => self.planned_move = None,
                 Ok(OrderKind::Join) => {
                     self.joining.remove(&order.node);
                     if let Some(p) = self.peers.get_mut(&order.node) {
-                        p.refused = now;
+                        p.join_refused_at = now;
                     }
-                    self.advance(now, out);
+                    self.advance_commit(now, out);
                 }
                 _ => {}
             }
--- a/crates/partition/src/replica/replication.rs
+++ b/crates/partition/src/replica/replication.rs
@@ -12,7 +12,7 @@
         let names: Vec<String> = self.replicas.iter().chain(&self.in_sync).cloned().collect();
         let mut seen = HashSet::new();
         for n in names {
-            if n != self.me && seen.insert(n.clone()) {
+            if n != self.node && seen.insert(n.clone()) {
                 self.send_to(&n, now, false, out);
             }
         }
@@ -21,7 +21,7 @@
     pub(super) fn send_to(&mut self, node: &str, now: u64, notice: bool, out: &mut Vec<Effect>) {
         let end = self.end();
         let p = self.peers.entry(node.to_owned()).or_insert_with(|| Peer::new(now));
-        if p.snapshot > 0 {
+        if p.snapshot_position > 0 {
             return;
         }
         if p.sent >= end && !notice {
@@ -31,11 +31,11 @@
         // that is less: bodies of what has ended are not in it.
         let lacks = self.state.position.saturating_sub(p.sent) as usize;
         let behind = lacks > 256 && {
-            let from = (p.sent + 1).saturating_sub(self.first) as usize;
+            let from = (p.sent + 1).saturating_sub(self.first_position) as usize;
             let bytes: usize = self.log.iter().skip(from).take(lacks).map(|e| e.record.len()).sum();
             bytes > 2 * self.state.snapshot_bytes()
         };
-        if p.sent + 1 < self.first || behind {
+        if p.sent + 1 < self.first_position || behind {
             self.send_snapshot(node, now, out);
             return;
         }
@@ -43,19 +43,22 @@
         let prev = p.sent;
         let mut at = prev + 1;
         while at <= end && bytes < 512 << 10 {
-            let e = &self.log[(at - self.first) as usize];
+            let e = &self.log[(at - self.first_position) as usize];
             bytes += e.record.len();
             entries.push(e.clone());
             at += 1;
         }
-        let prev_term =
-            if prev + 1 == self.first { self.base_term } else { self.log[(prev - self.first) as usize].term };
+        let prev_term = if prev + 1 == self.first_position {
+            self.base_term
+        } else {
+            self.log[(prev - self.first_position) as usize].term
+        };
         p.sent = at - 1;
-        p.told_commit = self.commit;
+        p.sent_commit = self.commit;
         let m = Entries {
             partition: self.id,
             term: self.term,
-            owner: self.me.clone(),
+            owner: self.node.clone(),
             prev,
             prev_term,
             entries,
@@ -78,7 +81,7 @@
             let c = Chunk {
                 partition: self.id,
                 term: self.term,
-                owner: self.me.clone(),
+                owner: self.node.clone(),
                 position,
                 position_term,
                 part: i as u32,
@@ -89,13 +92,13 @@
         }
         telemetry::count("snapshots_sent");
         if let Some(p) = self.peers.get_mut(node) {
-            p.snapshot = position;
+            p.snapshot_position = position;
             p.sent = position;
-            p.resent = now;
+            p.last_resent = now;
         }
     }
 
-    pub(super) fn advance(&mut self, now: u64, out: &mut Vec<Effect>) {
+    pub(super) fn advance_commit(&mut self, now: u64, out: &mut Vec<Effect>) {
         if self.role != ReplicaRole::Owner {
             return;
         }
@@ -104,15 +107,15 @@
             .in_sync
             .iter()
             .chain(self.joining.keys())
-            .filter(|n| **n != self.me)
+            .filter(|n| **n != self.node)
             .map(acked)
             .fold(self.durable, u64::min);
         if held > self.commit {
             self.commit = held;
-            if let Err(e) = self.fold_on(now, true, out) {
+            if let Err(e) = self.apply_committed(now, true, out) {
                 telemetry::error!("{e}");
             }
-            self.step_move(now, out);
+            self.advance_move(now, out);
         }
     }
 
@@ -126,9 +129,9 @@
         }
         self.durable = self.durable.max(end.min(self.end()));
         match self.role {
-            ReplicaRole::Owner => self.advance(now, out),
+            ReplicaRole::Owner => self.advance_commit(now, out),
             ReplicaRole::Follower => {
-                if !self.owner.is_empty() && self.owner != self.me {
+                if !self.owner.is_empty() && self.owner != self.node {
                     let ack = self.ack(false);
                     out.push(Effect::Send(self.owner.clone(), Body::EntriesAck(ack)));
                 }
@@ -141,23 +144,23 @@
             // Somebody knows a higher term: the assignments will say who.
             telemetry::count("owners_fenced");
             let term = a.term;
-            self.follow(term - 1, "", out);
+            self.become_follower(term - 1, "", out);
             return;
         }
         if self.role != ReplicaRole::Owner || a.term != self.term {
             return;
         }
-        let (commit, first, end, took_at) = (self.commit, self.first, self.end(), self.took_at);
+        let (commit, first, end, takeover_end) = (self.commit, self.first_position, self.end(), self.takeover_end);
         let Some(p) = self.peers.get_mut(&a.node) else { return };
-        (p.heard, p.level) = (now, now);
+        (p.last_heard, p.silent_since) = (now, now);
         if p.incarnation != a.incarnation {
             // Another process: what the former one had on disk may be gone.
             p.incarnation = a.incarnation;
             p.acked = 0;
-            p.snapshot = 0;
-            p.refused = 0;
+            p.snapshot_position = 0;
+            p.join_refused_at = 0;
         }
-        let refused = now < p.refused + 4 * self.timing.resend_ms;
+        let refused = now < p.join_refused_at + 4 * self.timing.resend_ms;
         p.verified = a.verified;
         p.verified_from = a.verified_from;
         if a.mismatch && !p.mismatch {
@@ -165,20 +168,20 @@
         }
         p.mismatch = a.mismatch;
         if a.gap {
-            p.snapshot = 0;
+            p.snapshot_position = 0;
             // Its log may end behind this one's, with what was never committed.
             p.sent = a.durable.min(end);
             // It may have lost its disk: what it once held does not count.
             p.acked = p.acked.min(a.durable);
             let behind = p.sent + 1 < first;
-            if behind && now < p.resent + self.timing.resend_ms {
+            if behind && now < p.last_resent + self.timing.resend_ms {
                 return;
             }
             self.send_to(&a.node, now, true, out);
             return;
         }
-        if p.snapshot > 0 && a.durable >= p.snapshot {
-            p.snapshot = 0;
+        if p.snapshot_position > 0 && a.durable >= p.snapshot_position {
+            p.snapshot_position = 0;
         }
         if a.durable > p.acked {
             p.acked = a.durable.min(p.sent);
@@ -189,27 +192,27 @@
             && !self.in_sync.contains(&a.node)
             && !self.joining.contains_key(&a.node)
             // Also what its owner found when it took over, and may have been committed.
-            && acked >= commit.max(took_at)
+            && acked >= commit.max(takeover_end)
             && !refused
         {
             self.joining.insert(a.node.clone(), now);
-            self.ask_join(&a.node, out);
+            self.request_join(&a.node, out);
         }
-        self.advance(now, out);
+        self.advance_commit(now, out);
         self.flush(now, out);
-        if matches!(&self.moving, Some(m) if m.phase == Phase::Verify) {
-            self.step_move(now, out);
+        if matches!(&self.planned_move, Some(m) if m.phase == Phase::Verifying) {
+            self.advance_move(now, out);
         }
     }
 
-    pub(super) fn ask_join(&self, node: &str, out: &mut Vec<Effect>) {
+    pub(super) fn request_join(&self, node: &str, out: &mut Vec<Effect>) {
         out.push(Effect::SubmitOrder(Order {
             partition: self.id,
             term: self.term,
             node: node.to_owned(),
             kind: OrderKind::Join as i32,
             incarnation: self.peers.get(node).map_or(0, |p| p.incarnation),
-            seen: self.told,
+            seen: self.assignment_version,
             ..Order::default()
         }));
     }
