--- a/crates/partition/src/clock.rs
+++ b/crates/partition/src/clock.rs
@@ -1,23 +1,23 @@
-//! A partition's time: what its log says has passed, carried on by the steady clock of the
-//! replica that owns it.
+//! Partition time: a per-partition clock that starts from the timestamps in the log and advances
+//! with the monotonic clock of the owning replica.
 //!
-//! It is never behind the partition's last record, and corrected towards the cluster's time
-//! by slewing only. A follower keeps it too, from what the owner says with its entries, so a
-//! successor goes on where the owner was. Only a replica whose process began since takes the
-//! cluster's time over as it stands, once, before it writes anything. Pure; keeps invariant
-//! 13 of docs/design.md.
+//! It is never behind the last record and is adjusted to cluster time only by slewing. Followers
+//! track it from the time that the owner sends with its entries, so a new owner continues from the
+//! previous owner's time. Only a replica whose process has started since then steps to cluster
+//! time, once, before it writes its first record. Performs no I/O; maintains invariant 13 of
+//! docs/design.md.
 
 use rpc::{PARTITION_SLEW_PPM, SlewedClock, is_plausible_time};
 
-/// All times in milliseconds; `now` is of the steady clock.
+/// All times are in milliseconds; `now` is a reading of the monotonic clock.
 #[derive(Clone, Debug)]
 pub enum PartitionClock {
-    /// Read from the log of an earlier process: how long ago that was is not known here.
+    /// Restored from the log of an earlier process; the time elapsed since then is unknown.
     Stopped {
-        /// The time of the last record.
+        /// Timestamp of the last record.
         reached_ms: u64,
     },
-    /// Goes on by the steady clock.
+    /// Advances with the monotonic clock.
     Running(SlewedClock),
 }
 
@@ -28,7 +28,7 @@
 }
 
 impl PartitionClock {
-    /// A record of this partition's log: its time has passed.
+    /// Raises the time to the timestamp of a record of this partition's log.
     pub fn observe_record(&mut self, at_ms: u64, now: u64) {
         match self {
             PartitionClock::Stopped { reached_ms } => *reached_ms = at_ms.max(*reached_ms),
@@ -36,7 +36,7 @@
         }
     }
 
-    /// The owner says its time; 0 if it is of a release that says none.
+    /// Handles the time that the owner sent; 0 if the owner runs a release that does not send it.
     pub fn observe_owner_time(&mut self, time_ms: u64, now: u64) {
         if !is_plausible_time(time_ms) {
             return;
@@ -47,7 +47,8 @@
         }
     }
 
-    /// The time, for what the owner writes now; `cluster_ms` is the cluster's, if known.
+    /// Timestamp for a record that the owner writes now; `cluster_ms` is the cluster time, if
+    /// known. Starts the clock if it is stopped.
     pub fn owner_time(&mut self, cluster_ms: Option<u64>, now: u64) -> u64 {
         match self {
             PartitionClock::Stopped { reached_ms } => {
@@ -64,7 +65,7 @@
         }
     }
 
-    /// The time that runs here; None while it is stopped.
+    /// The current time; `None` while the clock is stopped.
     pub fn running_time(&self, now: u64) -> Option<u64> {
         match self {
             PartitionClock::Stopped { .. } => None,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// The latest time that the log, or the running clock, says has passed.
+    /// The current time, or the timestamp of the last record while the clock is stopped.
     pub fn latest_time(&self, now: u64) -> u64 {
         match self {
             PartitionClock::Stopped { reached_ms } => *reached_ms,
@@ -80,7 +81,7 @@
         }
     }
 
-    /// How far the time is from the cluster's, which it slews to.
+    /// The remaining correction towards cluster time, applied by slewing.
     pub fn correction_ms(&self, now: u64) -> i64 {
         match self {
             PartitionClock::Stopped { .. } => 0,
@@ -89,8 +90,9 @@
     }
 }
 
-/// How much later than `span_ms` by a partition's time something is certain to be that long
-/// ago by any steady clock: twice what slewing makes of it, as the cluster's time slews too.
+/// Adds a margin to `span_ms` so that, once the result has elapsed in partition time, `span_ms` has
+/// elapsed on every monotonic clock. The margin is twice the slew rate because cluster time is
+/// slewed as well.
 pub fn with_slew_margin(span_ms: u64) -> u64 {
     span_ms + span_ms * 2 * PARTITION_SLEW_PPM / 1_000_000 + 1
 }
