--- a/crates/partition/src/digest.rs
+++ b/crates/partition/src/digest.rs
@@ -1,13 +1,12 @@
-//! The mixing function of the partition's digests.
+//! Non-cryptographic mixing functions for the partition's digests.
 
-/// Mixes a word into a digest.
 pub(crate) fn mix(mut digest: u64, word: u64) -> u64 {
     digest ^= word;
     digest = digest.wrapping_mul(0x9e3779b97f4a7c15);
     digest ^ (digest >> 29)
 }
 
-/// Mixes bytes and their number into a digest.
+/// Mixes bytes, preceded by their length, into a digest.
 pub(crate) fn fingerprint(mut digest: u64, bytes: &[u8]) -> u64 {
     digest = mix(digest, bytes.len() as u64);
     for chunk in bytes.chunks(8) {
