--- a/crates/partition/src/lib.rs
+++ b/crates/partition/src/lib.rs
@@ -1,8 +1,8 @@
-//! One partition of messages: the records of its log, the state that they fold into, its
-//! replicas, and how ownership passes from one to the next.
+//! A message partition: log records, the state derived from them, replication, and ownership
+//! transfer between replicas.
 //!
-//! State machines alone: they do no I/O, read no clock and take no lock. The store service
-//! carries out their effects in the order given.
+//! Contains only state machines: they perform no I/O, read no clock and take no locks. The store
+//! service executes their effects in the order given.
 
 mod clock;
 mod digest;
