--- a/crates/partition/src/record.rs
+++ b/crates/partition/src/record.rs
@@ -1,10 +1,10 @@
-//! What a partition's log holds.
+//! The records of a partition's log.
 
 use rpc::messages::{Item, PlacementGenerations, PlacementSubject};
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Record {
-    /// The owner's time of day when it wrote this; the fold knows no other clock.
+    /// Partition time at which the owner wrote the record. Applying records uses no other clock.
     #[prost(uint64, tag = "1")]
     pub at_ms: u64,
     #[prost(oneof = "Entry", tags = "2, 3, 4, 5, 6, 7, 8, 9, 10, 11")]
@@ -12,7 +12,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
-#[allow(clippy::large_enum_variant)] // Each lives until it is encoded or folded.
+#[allow(clippy::large_enum_variant)] // Short-lived: dropped once encoded or applied.
 pub enum Entry {
     #[prost(message, tag = "2")]
     Accept(AcceptRecord),
@@ -22,7 +22,7 @@
     Answer(AnswerRecord),
     #[prost(message, tag = "5")]
     Notified(Positions),
-    /// Messages whose time is over.
+    /// Messages that have exceeded their retention time.
     #[prost(message, tag = "6")]
     Expire(Positions),
     #[prost(message, tag = "7")]
@@ -37,22 +37,23 @@
     Place(PlaceRecord),
 }
 
-/// What a store machine's disk knows of itself.
+/// Incarnations recorded on a store node's disk.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct DiskIdentity {
-    /// The incarnation in which it was empty; 0 at the system's first start.
+    /// The incarnation that found the disk empty; 0 at the system's initial start.
     #[prost(uint64, tag = "1")]
     pub first_incarnation: u64,
-    /// The last incarnation that was lived on it.
+    /// The latest incarnation that ran on this disk.
     #[prost(uint64, tag = "2")]
     pub last_incarnation: u64,
-    /// Found empty, and no incarnation lived on it yet.
+    /// The disk was found empty and no incarnation has run on it yet.
     #[prost(bool, tag = "3")]
     pub empty: bool,
 }
 
 impl DiskIdentity {
-    /// A process begins on this disk: its incarnation, after all that were lived here.
+    /// Records a process start and returns its incarnation, which is greater than every earlier
+    /// incarnation on this disk.
     pub fn begin_incarnation(&mut self, incarnation: u64) -> u64 {
         let incarnation =
             if incarnation > self.last_incarnation { incarnation } else { rpc::after(self.last_incarnation) };
@@ -70,23 +71,23 @@
     pub item: Item,
     #[prost(uint64, tag = "2")]
     pub delay_ms: u64,
-    /// By which placements it came here; absent where none was needed.
+    /// Generations of the placements that routed the message here; absent if there were none.
     #[prost(message, optional, tag = "3")]
     pub generations: Option<PlacementGenerations>,
 }
 
-/// Places a subject in another partition, unless this one keeps it or has placed it before.
+/// Places a subject in another partition, unless this one stores it or has already placed it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PlaceRecord {
-    /// The partition that is to keep it.
+    /// The partition that is to store the subject.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
     #[prost(oneof = "PlacementSubject", tags = "2, 3")]
     pub subject: Option<PlacementSubject>,
-    /// That of the placement by which the subject came here; 0 at the directory.
+    /// Generation of the placement that routed the subject here; 0 at the directory partition.
     #[prost(uint64, tag = "4")]
     pub generation: u64,
-    /// For an order key: how long its message may be under way, in milliseconds.
+    /// For an order key: how long its message may be in flight, in milliseconds.
     #[prost(uint64, tag = "5")]
     pub hold_ms: u64,
 }
@@ -105,13 +106,13 @@
 pub struct AnswerRecord {
     #[prost(uint64, tag = "1")]
     pub position: u64,
-    /// As in the inner protocol; only `Done`, `Failed` and `Never` are written.
+    /// An `Outcome` of the internal protocol; only `Done`, `Failed` and `Never` are written.
     #[prost(int32, tag = "2")]
     pub outcome: i32,
     #[prost(string, tag = "3")]
     pub result_tag: String,
-    /// Position of the dispatch record that this answers. An attempt counts once,
-    /// however often it is reported.
+    /// Position of the dispatch record that this answers. An attempt is counted once, however
+    /// often it is reported.
     #[prost(uint64, tag = "4")]
     pub attempt: u64,
 }
@@ -122,14 +123,14 @@
     pub positions: Vec<u64>,
 }
 
-/// What the fold needs of a configuration.
+/// The subset of a configuration that affects the partition state.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Routes {
     #[prost(uint64, tag = "1")]
     pub revision: u64,
     #[prost(message, repeated, tag = "2")]
     pub routes: Vec<RouteFacts>,
-    /// Not 0: only what has changed since that revision, and which are gone.
+    /// If not 0, `routes` and `removed` are a delta relative to this revision.
     #[prost(uint64, tag = "3")]
     pub base_revision: u64,
     #[prost(string, repeated, tag = "4")]
@@ -146,7 +147,8 @@
     pub retain_ms: u64,
 }
 
-/// The digest of the state that the fold of all up to `position` makes.
+/// The digest of the state after applying all records up to `position`, for comparison with the
+/// followers' states.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Epoch {
     #[prost(uint64, tag = "1")]
@@ -155,15 +157,15 @@
     pub digest: u64,
 }
 
-/// A planned move begins: `candidate` folds into its shadow state beside the owner.
+/// A planned move starts: `candidate` keeps its standby state in step with the owner's.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Stage {
     #[prost(string, tag = "1")]
     pub candidate: String,
 }
 
-/// The stop marker: the incumbent consumes nothing from `splice` on, which is
-/// this record's own position; the candidate resumes behind it at `term`.
+/// The stop marker of a planned move. The current owner processes nothing from `splice` on, which
+/// is the position of this record; the candidate takes over after it at `term`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Stop {
     #[prost(uint64, tag = "1")]
