--- a/crates/partition/src/state.rs
+++ b/crates/partition/src/state.rs
@@ -1,4 +1,4 @@
-//! The fold: a partition's state as a function of its log alone.
+//! Partition state: a deterministic function of the records in the log.
 
 mod placing;
 mod snapshot;
@@ -28,23 +28,22 @@
     }
 }
 
-/// One message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Message {
     pub item: Item,
     pub at_ms: u64,
     pub due_ms: u64,
     pub state: MessageState,
-    /// The attempts that failed.
+    /// Attempts that failed.
     pub failed: Vec<u64>,
     pub result_tag: String,
     pub ended_ms: u64,
     pub notified: bool,
-    /// The last dispatch: when, to which unit, through which node.
+    /// The last dispatch: its time, its processor, and the node that it went through.
     pub sent_ms: u64,
     pub processor: String,
     pub node: String,
-    /// Of the unchanging part, for the digest.
+    /// Digest of the immutable fields, an input of `message_digest`.
     fingerprint: u64,
 }
 
@@ -54,11 +53,11 @@
     }
 }
 
-/// What a record changed, for whoever schedules by it.
+/// The effect of applying a record, for the delivery scheduler and for callers that wait for it.
 #[derive(Debug, PartialEq, Clone)]
 pub enum Change {
     Accepted(u64),
-    /// The record at `at` repeats a message known as `old`.
+    /// The record at `at` duplicates the message at position `original`.
     Duplicate {
         at: u64,
         original: u64,
@@ -72,15 +71,15 @@
     OrderPlacedElsewhere {
         at: u64,
     },
-    /// The record at `at` would place an order key of which messages are under way here, or which
-    /// has come back.
+    /// The record at `at` would place an order key that has messages in flight here, also one that
+    /// has returned to this partition.
     StaysHere {
         at: u64,
     },
-    /// A failed attempt; more are allowed.
+    /// An attempt failed and the message may be retried.
     Failed(u64),
     Ended(u64),
-    /// The head of an order key may run.
+    /// The message is now the head of its order key's queue and may be dispatched.
     Unblocked(u64),
     Notified(u64),
     Epoch {
@@ -91,13 +90,14 @@
     Stopped(Stop),
 }
 
-/// How long a partition remembers, in milliseconds of its records' times; a quarter longer in
-/// fact, for whoever is late and for owners whose times differ.
+/// Retention times, in milliseconds of record time. Entries are kept a quarter longer, to allow for
+/// late requests and for differences between the clocks of successive owners.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Retention {
-    /// A message that has ended.
+    /// For the state of a message that has ended.
     pub status_ms: u64,
-    /// The key of an operation, since its first try was accepted; 0 where there are no keys.
+    /// For an operation key, from the time its first attempt was accepted; 0 if operation keys are
+    /// not used.
     pub operations_ms: u64,
 }
 
@@ -108,24 +108,23 @@
 }
 
 impl Retention {
-    /// When a message may be forgotten: nobody asks for its state any more, and its
-    /// operation's key is not remembered any more.
-    fn end(self, message: &Message) -> u64 {
-        let status_end = message.ended_ms + self.status_ms * 5 / 4;
+    /// When an ended message may be removed: both its state and its operation key have expired.
+    fn removal_time(self, message: &Message) -> u64 {
+        let status_expiry = message.ended_ms + self.status_ms * 5 / 4;
         match message.item.operation {
-            Some(_) => status_end.max(self.operation_end(message)),
-            None => status_end,
+            Some(_) => status_expiry.max(self.operation_expiry(message)),
+            None => status_expiry,
         }
     }
 
-    /// Until when a try at a message's operation repeats it.
-    fn operation_end(self, message: &Message) -> u64 {
+    /// The time until which further requests for a message's operation count as duplicates.
+    fn operation_expiry(self, message: &Message) -> u64 {
         message.at_ms + self.operations_ms * 5 / 4
     }
 
-    /// How long a placement holds: as long as the operation is remembered, or messages of the
-    /// order key may be under way, and a quarter.
-    fn placement_time(self, subject: &PlacementSubject, hold_ms: u64) -> u64 {
+    /// How long a placement is valid: the retention time of the operation key, or the time that
+    /// messages of the order key may be in flight, plus a quarter.
+    fn placement_validity(self, subject: &PlacementSubject, hold_ms: u64) -> u64 {
         match subject {
             PlacementSubject::Operation(_) => self.operations_ms * 5 / 4,
             PlacementSubject::Order(_) => hold_ms + hold_ms / 4,
@@ -135,16 +134,16 @@
 
 #[derive(Clone, Default)]
 pub struct PartitionState {
-    /// All up to here is folded.
+    /// Position of the last applied record.
     pub position: u64,
     pub messages: BTreeMap<u64, Message>,
-    /// By request id, within a tenant.
+    /// Positions by request id, scoped by tenant.
     ids: HashMap<String, u64>,
-    /// The last message of each operation.
+    /// The latest message of each operation.
     operations: HashMap<OperationId, u64>,
-    /// Operations and order keys that other partitions keep.
+    /// Operations and order keys stored in other partitions.
     placements: Placements,
-    /// Messages that have not ended, by order key within a tenant, in order.
+    /// Messages that have not ended, in log order, by order key scoped by tenant.
     orders: HashMap<String, VecDeque<u64>>,
     pub revision: u64,
     routes: HashMap<String, RouteFacts>,
@@ -153,35 +152,35 @@
     /// Messages that have not ended.
     pub pending: BTreeSet<u64>,
     retention: Retention,
-    /// What has ended, by when it may be forgotten.
+    /// Ended messages as (earliest removal time, position).
     ended: BTreeSet<(u64, u64)>,
-    /// The latest time that a folded record has.
+    /// The latest timestamp of an applied record.
     reached_ms: u64,
 }
 
-/// What a message takes besides its body, about.
-const PIECE_BYTES: usize = 1024;
-/// What the key of its operation takes besides, about: in the message, and in the index.
-const OPERATION_BYTES: usize = 128;
-/// What that takes of a snapshot, with the tenant's name, about.
-const OPERATION_SNAPSHOT_BYTES: usize = 64;
+/// Approximate memory use of a message, excluding its body.
+const MESSAGE_OVERHEAD_BYTES: usize = 1024;
+/// Approximate additional memory use of an operation key, in the message and in the index.
+const OPERATION_KEY_BYTES: usize = 128;
+/// Approximate size of an operation key and its tenant name in a snapshot.
+const OPERATION_KEY_SNAPSHOT_BYTES: usize = 64;
 
-/// A client's name for something, as it is told apart from other tenants' names.
-fn scoped(tenant: &str, name: &str) -> String {
+/// Scopes a name chosen by a client to its tenant.
+fn tenant_key(tenant: &str, name: &str) -> String {
     if tenant.is_empty() { name.to_owned() } else { format!("{tenant}\n{name}") }
 }
 
-/// One message's part of the digest. The parts are added up, so that a change
-/// costs no more than the message it concerns.
-fn part(pos: u64, w: &Message) -> u64 {
-    let mut h = mix(w.fingerprint, pos);
-    h = mix(h, w.state as u64);
-    h = w.failed.iter().fold(h, |h, a| mix(h, *a));
-    h = mix(h, w.ended_ms);
-    h = mix(h, w.notified as u64);
-    h = mix(h, w.sent_ms);
-    h = fingerprint(h, w.result_tag.as_bytes());
-    fingerprint(h, w.processor.as_bytes())
+/// Digest of one message. The state's digest is the sum of these, so that updating it costs only
+/// the changed message.
+fn message_digest(pos: u64, message: &Message) -> u64 {
+    let mut h = mix(message.fingerprint, pos);
+    h = mix(h, message.state as u64);
+    h = message.failed.iter().fold(h, |h, a| mix(h, *a));
+    h = mix(h, message.ended_ms);
+    h = mix(h, message.notified as u64);
+    h = mix(h, message.sent_ms);
+    h = fingerprint(h, message.result_tag.as_bytes());
+    fingerprint(h, message.processor.as_bytes())
 }
 
 impl PartitionState {
@@ -189,7 +188,7 @@
         PartitionState { retention: retention.into(), ..PartitionState::default() }
     }
 
-    /// The latest time that a folded record has.
+    /// The latest timestamp of an applied record.
     pub fn reached_ms(&self) -> u64 {
         self.reached_ms
     }
@@ -199,49 +198,49 @@
         mix(mix(sum, self.revision), self.messages.len() as u64)
     }
 
-    /// The digest from scratch: what the running one must equal.
+    /// Recomputes the digest from the whole state. The incrementally maintained digest must equal it.
     pub fn recompute_digest(&self) -> u64 {
-        let sum = self.messages.iter().fold(0u64, |a, (p, w)| a.wrapping_add(part(*p, w)));
+        let sum = self.messages.iter().fold(0u64, |a, (p, message)| a.wrapping_add(message_digest(*p, message)));
         let sum = sum.wrapping_add(self.placements.recompute_digest());
         mix(mix(sum, self.revision), self.messages.len() as u64)
     }
 
-    /// Bytes of memory that the messages take, about.
+    /// Approximate memory use of the messages, in bytes.
     pub fn memory_bytes(&self) -> usize {
         let operations = self.operations.len() + self.placements.len();
-        self.body_bytes + self.messages.len() * PIECE_BYTES + operations * OPERATION_BYTES
+        self.body_bytes + self.messages.len() * MESSAGE_OVERHEAD_BYTES + operations * OPERATION_KEY_BYTES
     }
 
-    /// Bytes of a snapshot, about.
+    /// Approximate size of a snapshot, in bytes.
     pub fn snapshot_bytes(&self) -> usize {
         let operations = self.operations.len() + self.placements.len();
-        self.body_bytes + self.messages.len() * (PIECE_BYTES / 4) + operations * OPERATION_SNAPSHOT_BYTES
+        self.body_bytes + self.messages.len() * (MESSAGE_OVERHEAD_BYTES / 4) + operations * OPERATION_KEY_SNAPSHOT_BYTES
     }
 
-    /// A tenant's message by its request id.
+    /// Finds a tenant's message by its request id.
     pub fn find(&self, tenant: &str, id: &str) -> Option<u64> {
-        self.ids.get(&scoped(tenant, id)).copied()
+        self.ids.get(&tenant_key(tenant, id)).copied()
     }
 
-    /// The message that an accept at `at_ms` would repeat: by its id, or as a try at the same
-    /// operation inside the window.
+    /// Finds the message that an accept at `at_ms` would duplicate: one with the same id, or one of
+    /// the same operation within the retention time of its key.
     pub fn find_duplicate(&self, item: &Item, at_ms: u64) -> Option<u64> {
         self.find(&item.tenant, &item.id).or_else(|| self.find_operation(item.operation.as_ref()?, at_ms))
     }
 
-    /// The message that keeps an operation, inside the window.
+    /// Finds the message of an operation whose key has not expired at `at_ms`.
     pub fn find_operation(&self, operation: &OperationId, at_ms: u64) -> Option<u64> {
         let position = *self.operations.get(operation)?;
         let message = self.messages.get(&position)?;
-        (at_ms <= self.retention.operation_end(message)).then_some(position)
+        (at_ms <= self.retention.operation_expiry(message)).then_some(position)
     }
 
-    /// Whether an attempt at a message is counted as one that failed.
+    /// Whether an attempt has been recorded as failed.
     pub fn is_failure_counted(&self, position: u64, attempt: u64) -> bool {
         self.messages.get(&position).is_some_and(|message| message.failed.contains(&attempt))
     }
 
-    /// How many operations' keys are kept.
+    /// Number of operation keys stored.
     pub fn operation_count(&self) -> usize {
         self.operations.len()
     }
@@ -250,67 +249,67 @@
         self.routes.contains_key(route)
     }
 
-    /// What has changed against the routes that are known here: with many routes
-    /// and partitions, whole lists would be most of what the logs carry.
+    /// The difference between the applied routes and `whole`. With many routes and partitions,
+    /// complete lists would make up most of the log volume.
     pub fn routes_delta(&self, whole: Routes) -> Routes {
         if self.revision == 0 {
             return whole;
         }
         let names: HashSet<&str> = whole.routes.iter().map(|r| r.route.as_str()).collect();
-        let mut gone: Vec<String> = self.routes.keys().filter(|n| !names.contains(n.as_str())).cloned().collect();
-        gone.sort();
+        let mut removed: Vec<String> = self.routes.keys().filter(|n| !names.contains(n.as_str())).cloned().collect();
+        removed.sort();
         let routes = whole.routes.iter().filter(|r| self.routes.get(&r.route) != Some(r)).cloned().collect();
-        Routes { revision: whole.revision, routes, base_revision: self.revision, removed: gone }
+        Routes { revision: whole.revision, routes, base_revision: self.revision, removed }
     }
 
     pub fn retain_ms(&self, route: &str) -> u64 {
         self.routes.get(route).map_or(0, |r| r.retain_ms)
     }
 
-    /// Whether nothing of its order key is before it.
-    pub fn is_head(&self, pos: u64, w: &Message) -> bool {
-        w.item.order_key.is_empty()
+    /// Whether no earlier message of its order key is pending.
+    pub fn is_head(&self, pos: u64, message: &Message) -> bool {
+        message.item.order_key.is_empty()
             || self
                 .orders
-                .get(&scoped(&w.item.tenant, &w.item.order_key))
+                .get(&tenant_key(&message.item.tenant, &message.item.order_key))
                 .and_then(|q| q.front())
                 .is_none_or(|h| *h == pos)
     }
 
-    fn change<T>(&mut self, pos: u64, f: impl FnOnce(&mut Message) -> T) -> Option<T> {
-        let w = self.messages.get_mut(&pos)?;
-        self.digest = self.digest.wrapping_sub(part(pos, w));
-        let t = f(w);
-        self.digest = self.digest.wrapping_add(part(pos, w));
+    fn update<T>(&mut self, pos: u64, f: impl FnOnce(&mut Message) -> T) -> Option<T> {
+        let message = self.messages.get_mut(&pos)?;
+        self.digest = self.digest.wrapping_sub(message_digest(pos, message));
+        let t = f(message);
+        self.digest = self.digest.wrapping_add(message_digest(pos, message));
         Some(t)
     }
 
-    fn end(&mut self, pos: u64, state: MessageState, result_tag: &str, at: u64, out: &mut Vec<Change>) {
-        let Some(w) = self.messages.get(&pos) else { return };
-        if w.state != MessageState::Pending {
+    fn end_message(&mut self, pos: u64, state: MessageState, result_tag: &str, at: u64, out: &mut Vec<Change>) {
+        let Some(message) = self.messages.get(&pos) else { return };
+        if message.state != MessageState::Pending {
             return;
         }
-        let key = match w.item.order_key.as_str() {
+        let key = match message.item.order_key.as_str() {
             "" => String::new(),
-            order_key => scoped(&w.item.tenant, order_key),
+            order_key => tenant_key(&message.item.tenant, order_key),
         };
-        self.change(pos, |w| {
-            w.state = state;
-            w.result_tag = result_tag.to_owned();
-            w.ended_ms = at;
+        self.update(pos, |message| {
+            message.state = state;
+            message.result_tag = result_tag.to_owned();
+            message.ended_ms = at;
         });
         self.pending.remove(&pos);
         if state == MessageState::Settled {
-            // A body is owed back only for what has not ended well.
-            if let Some(w) = self.messages.get_mut(&pos) {
-                self.body_bytes -= w.item.body.len();
-                // What is still asked for: whose it is, by which names, and where to call back.
-                let Item { id, route, host, notify_url, tenant, operation, .. } = std::mem::take(&mut w.item);
-                w.item = Item { id, route, host, notify_url, tenant, operation, ..Item::default() };
+            // Bodies are returned only for messages that did not succeed.
+            if let Some(message) = self.messages.get_mut(&pos) {
+                self.body_bytes -= message.item.body.len();
+                // Keeps only the fields needed for lookups and notifications.
+                let Item { id, route, host, notify_url, tenant, operation, .. } = std::mem::take(&mut message.item);
+                message.item = Item { id, route, host, notify_url, tenant, operation, ..Item::default() };
             }
         }
-        if let Some(w) = self.messages.get(&pos) {
-            self.ended.insert((self.retention.end(w), pos));
+        if let Some(message) = self.messages.get(&pos) {
+            self.ended.insert((self.retention.removal_time(message), pos));
         }
         out.push(Change::Ended(pos));
         if !key.is_empty()
@@ -326,7 +325,7 @@
         }
     }
 
-    /// Folds the record at `pos`. One that is folded already changes nothing.
+    /// Applies the record at `pos`. Has no effect if the record has already been applied.
     pub fn apply(&mut self, pos: u64, record: &Record) -> Vec<Change> {
         let mut out = Vec::new();
         if pos <= self.position {
@@ -337,8 +336,8 @@
         self.reached_ms = self.reached_ms.max(at);
         match &record.entry {
             Some(Entry::Accept(a)) => {
-                if let Some(old) = self.find_duplicate(&a.item, at) {
-                    out.push(Change::Duplicate { at: pos, original: old });
+                if let Some(original) = self.find_duplicate(&a.item, at) {
+                    out.push(Change::Duplicate { at: pos, original });
                     return out;
                 }
                 let generations = a.generations.unwrap_or_default();
@@ -349,7 +348,7 @@
                     });
                     return out;
                 }
-                self.end_placements(&a.item);
+                self.remove_placements(&a.item);
                 let mut h = fingerprint(pos, a.item.id.as_bytes());
                 h = fingerprint(h, &a.item.body);
                 for s in [&a.item.route, &a.item.path, &a.item.order_key, &a.item.notify_url] {
@@ -361,7 +360,7 @@
                 if let Some(operation) = a.item.operation {
                     h = mix(mix(h, operation.high), operation.low);
                 }
-                let w = Message {
+                let message = Message {
                     item: a.item.clone(),
                     at_ms: at,
                     due_ms: at + a.delay_ms,
@@ -375,31 +374,33 @@
                     node: String::new(),
                     fingerprint: mix(h, at + a.delay_ms),
                 };
-                self.insert(pos, w);
+                self.insert(pos, message);
                 out.push(Change::Accepted(pos));
             }
             Some(Entry::Place(place)) => out.extend(self.place(pos, place, at)),
             Some(Entry::Dispatch(d)) => {
-                self.change(d.position, |w| {
-                    w.sent_ms = at;
-                    w.processor.clone_from(&d.processor);
-                    w.node.clone_from(&d.node);
+                self.update(d.position, |message| {
+                    message.sent_ms = at;
+                    message.processor.clone_from(&d.processor);
+                    message.node.clone_from(&d.node);
                 });
             }
             Some(Entry::Answer(a)) => match Outcome::try_from(a.outcome) {
-                Ok(Outcome::Done) => self.end(a.position, MessageState::Settled, &a.result_tag, at, &mut out),
-                Ok(Outcome::Never) => self.end(a.position, MessageState::Dead, "", at, &mut out),
+                Ok(Outcome::Done) => self.end_message(a.position, MessageState::Settled, &a.result_tag, at, &mut out),
+                Ok(Outcome::Never) => self.end_message(a.position, MessageState::Dead, "", at, &mut out),
                 Ok(Outcome::Failed) => {
-                    let counts = |w: &Message| w.state == MessageState::Pending && !w.failed.contains(&a.attempt);
+                    let counts = |message: &Message| {
+                        message.state == MessageState::Pending && !message.failed.contains(&a.attempt)
+                    };
                     if self.messages.get(&a.position).is_some_and(counts) {
-                        let n = self.change(a.position, |w| {
-                            w.failed.push(a.attempt);
-                            w.failed.len()
+                        let n = self.update(a.position, |message| {
+                            message.failed.push(a.attempt);
+                            message.failed.len()
                         });
                         let route = &self.messages[&a.position].item.route;
                         let tries = self.routes.get(route).map_or(1, |r| r.tries.max(1));
                         if n.unwrap_or(0) >= tries as usize {
-                            self.end(a.position, MessageState::Dead, "", at, &mut out);
+                            self.end_message(a.position, MessageState::Dead, "", at, &mut out);
                         } else {
                             out.push(Change::Failed(a.position));
                         }
@@ -409,18 +410,18 @@
             },
             Some(Entry::Notified(n)) => {
                 for p in &n.positions {
-                    if self.change(*p, |w| w.notified = true).is_some() {
+                    if self.update(*p, |message| message.notified = true).is_some() {
                         out.push(Change::Notified(*p));
                     }
                 }
             }
             Some(Entry::Expire(e)) => {
                 for p in &e.positions {
-                    self.end(*p, MessageState::Dead, "", at, &mut out);
+                    self.end_message(*p, MessageState::Dead, "", at, &mut out);
                 }
             }
-            // Changes since another revision are of no use; their writer sees that
-            // nothing came of them and writes them anew.
+            // A delta against another revision is ignored; its writer sees that the revision did not
+            // change and writes a new delta.
             Some(Entry::Routes(r)) if r.revision > self.revision && [0, self.revision].contains(&r.base_revision) => {
                 self.revision = r.revision;
                 if r.base_revision == 0 {
@@ -433,11 +434,13 @@
                 let dropped: Vec<u64> = self
                     .messages
                     .iter()
-                    .filter(|(_, w)| w.state == MessageState::Pending && !self.routes.contains_key(&w.item.route))
+                    .filter(|(_, message)| {
+                        message.state == MessageState::Pending && !self.routes.contains_key(&message.item.route)
+                    })
                     .map(|(p, _)| *p)
                     .collect();
                 for p in dropped {
-                    self.end(p, MessageState::Dead, "", at, &mut out);
+                    self.end_message(p, MessageState::Dead, "", at, &mut out);
                 }
             }
             Some(Entry::Epoch(e)) => out.push(Change::Epoch { at: e.position, digest: e.digest }),
@@ -446,17 +449,17 @@
             Some(Entry::Routes(_)) | None => {}
         }
         self.placements.remove_expired(at);
-        // What ended long enough ago is forgotten: the time that it may be asked for, and a quarter.
+        // Removes ended messages whose retention time plus a quarter has passed.
         while let Some((end, p)) = self.ended.first().copied() {
             if end >= at {
                 break;
             }
             self.ended.pop_first();
-            if let Some(w) = self.messages.remove(&p) {
-                self.digest = self.digest.wrapping_sub(part(p, &w));
-                self.body_bytes -= w.item.body.len();
-                self.ids.remove(&scoped(&w.item.tenant, &w.item.id));
-                if let Some(operation) = &w.item.operation
+            if let Some(message) = self.messages.remove(&p) {
+                self.digest = self.digest.wrapping_sub(message_digest(p, &message));
+                self.body_bytes -= message.item.body.len();
+                self.ids.remove(&tenant_key(&message.item.tenant, &message.item.id));
+                if let Some(operation) = &message.item.operation
                     && self.operations.get(operation) == Some(&p)
                 {
                     self.operations.remove(operation);
@@ -466,19 +469,22 @@
         out
     }
 
-    fn insert(&mut self, pos: u64, w: Message) {
-        self.ids.insert(scoped(&w.item.tenant, &w.item.id), pos);
-        if let Some(operation) = w.item.operation {
+    fn insert(&mut self, pos: u64, message: Message) {
+        self.ids.insert(tenant_key(&message.item.tenant, &message.item.id), pos);
+        if let Some(operation) = message.item.operation {
             self.operations.insert(operation, pos);
         }
-        if w.state == MessageState::Pending {
+        if message.state == MessageState::Pending {
             self.pending.insert(pos);
-            if !w.item.order_key.is_empty() {
-                self.orders.entry(scoped(&w.item.tenant, &w.item.order_key)).or_default().push_back(pos);
+            if !message.item.order_key.is_empty() {
+                self.orders
+                    .entry(tenant_key(&message.item.tenant, &message.item.order_key))
+                    .or_default()
+                    .push_back(pos);
             }
         }
-        self.body_bytes += w.item.body.len();
-        self.digest = self.digest.wrapping_add(part(pos, &w));
-        self.messages.insert(pos, w);
+        self.body_bytes += message.item.body.len();
+        self.digest = self.digest.wrapping_add(message_digest(pos, &message));
+        self.messages.insert(pos, message);
     }
 }
--- a/crates/partition/src/state/placing.rs
+++ b/crates/partition/src/state/placing.rs
@@ -1,39 +1,40 @@
-//! Operations and order keys: whether they are kept here, placed elsewhere, or may be placed.
+//! Location of operations and order keys: stored here, placed in another partition, or unknown and
+//! free to be placed.
 
-use super::{Change, PartitionState, scoped};
+use super::{Change, PartitionState, tenant_key};
 use crate::placements::Placement;
 use crate::record::PlaceRecord;
 use rpc::messages::{Item, PlacementGenerations, PlacementSubject};
 
-/// What a partition knows of a subject that may be placed.
+/// The location of a subject, as known to a partition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubjectLocation {
-    /// It is placed in another partition.
+    /// Placed in another partition.
     Elsewhere(Placement),
-    /// The operation is kept here, by the message at this position.
+    /// The operation is stored here, with the message at this position.
     KeptHere(u64),
-    /// Messages of the order key are under way here.
+    /// The order key has messages in flight here.
     InFlightHere,
 }
 
-/// Why a message is not to be kept by a partition.
+/// Why a partition must not accept a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlacementRefusal {
-    /// Its operation is placed in another one.
+    /// Its operation is placed in another partition.
     Operation(Placement),
-    /// Its order key is.
+    /// Its order key is placed in another partition.
     Order,
 }
 
 impl PartitionState {
-    /// Where a subject is placed that another partition keeps, for one that came here by a
-    /// placement of that generation.
+    /// The placement of a subject in another partition that is valid at `at_ms` and newer than
+    /// `generation`, the generation of the placement that routed the subject here.
     pub fn placement_of(&self, subject: &PlacementSubject, generation: u64, at_ms: u64) -> Option<Placement> {
         self.placements.get(subject, generation, at_ms)
     }
 
-    /// What is known here of a subject that came by a placement of that generation; `None` if it
-    /// may be placed anywhere.
+    /// The location of a subject that was routed here by a placement of `generation`; `None` if it
+    /// may be placed in any partition.
     pub fn locate(&self, subject: &PlacementSubject, generation: u64, at_ms: u64) -> Option<SubjectLocation> {
         if let Some(placement) = self.placement_of(subject, generation, at_ms) {
             return Some(SubjectLocation::Elsewhere(placement));
@@ -43,13 +44,14 @@
                 self.find_operation(operation, at_ms).map(SubjectLocation::KeptHere)
             }
             PlacementSubject::Order(order) => {
-                let is_under_way = self.orders.contains_key(&scoped(&order.tenant, &order.key));
-                is_under_way.then_some(SubjectLocation::InFlightHere)
+                let is_in_flight = self.orders.contains_key(&tenant_key(&order.tenant, &order.key));
+                is_in_flight.then_some(SubjectLocation::InFlightHere)
             }
         }
     }
 
-    /// Why a message that came by these placements is not to be kept here; `None` if it may be.
+    /// Why a message that was routed here by placements of `generations` must not be accepted;
+    /// `None` if it may be.
     pub fn placement_refusal(
         &self,
         item: &Item,
@@ -65,8 +67,8 @@
         order.and_then(|subject| placed(subject, generations.order)).map(|_| PlacementRefusal::Order)
     }
 
-    /// Whether a placement is to be written anew when it is asked for, so that it outlasts what
-    /// is taken by it: an eighth of its time has passed since it was. `hold_ms` as in the request.
+    /// Whether a requested placement has to be renewed so that it outlasts the messages accepted
+    /// through it: more than a tenth of its validity has passed. `hold_ms` is taken from the request.
     pub fn is_placement_due(
         &self,
         placement: &Placement,
@@ -74,33 +76,34 @@
         hold_ms: u64,
         at_ms: u64,
     ) -> bool {
-        let time_ms = self.retention.placement_time(subject, hold_ms);
-        at_ms + time_ms - time_ms / 10 > placement.until_ms
+        let validity_ms = self.retention.placement_validity(subject, hold_ms);
+        at_ms + validity_ms - validity_ms / 10 > placement.until_ms
     }
 
-    /// How many operations and order keys are placed in other partitions.
+    /// Number of operations and order keys placed in other partitions.
     pub fn placement_count(&self) -> usize {
         self.placements.len()
     }
 
-    /// An accept that its placements let in has brought its operation and order key back here.
-    pub(super) fn end_placements(&mut self, item: &Item) {
+    /// Removes the placements of the operation and order key of an accepted message, which are now
+    /// stored here.
+    pub(super) fn remove_placements(&mut self, item: &Item) {
         let order = item.order().map(PlacementSubject::Order);
         for subject in item.operation.map(PlacementSubject::Operation).iter().chain(&order) {
             self.placements.remove(subject);
         }
     }
 
-    /// Folds a record that places a subject.
+    /// Applies a place record.
     pub(super) fn place(&mut self, at: u64, record: &PlaceRecord, at_ms: u64) -> Option<Change> {
         let PlaceRecord { partition, subject, generation, hold_ms } = record;
         let subject = subject.as_ref()?;
         match self.locate(subject, *generation, at_ms) {
-            Some(SubjectLocation::KeptHere(old)) => return Some(Change::Duplicate { at, original: old }),
+            Some(SubjectLocation::KeptHere(original)) => return Some(Change::Duplicate { at, original }),
             Some(SubjectLocation::InFlightHere) => return Some(Change::StaysHere { at }),
             Some(SubjectLocation::Elsewhere(_)) | None => {}
         }
-        let until_ms = at_ms + self.retention.placement_time(subject, *hold_ms);
+        let until_ms = at_ms + self.retention.placement_validity(subject, *hold_ms);
         let placement = self.placements.place(subject.clone(), *partition, *generation, at_ms, until_ms);
         Some(Change::PlacedElsewhere { at, placement })
     }
--- a/crates/partition/src/state/snapshot.rs
+++ b/crates/partition/src/state/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots of a partition's state, and the state that one holds.
+//! Encoding a partition's state as a snapshot, and restoring it.
 
 use super::{Message, MessageState, PartitionState, Retention};
 use crate::placements::{Placements, SnapshotPlacement};
@@ -7,7 +7,6 @@
 use std::collections::BTreeSet;
 
 impl PartitionState {
-    /// The state as a snapshot holds it.
     pub fn snapshot(&self) -> Snapshot {
         let mut routes: Vec<RouteFacts> = self.routes.values().cloned().collect();
         routes.sort_by(|a, b| a.route.cmp(&b.route));
@@ -18,20 +17,20 @@
             messages: self
                 .messages
                 .iter()
-                .map(|(p, w)| SnapshotMessage {
+                .map(|(p, message)| SnapshotMessage {
                     position: *p,
-                    item: w.item.clone(),
-                    at_ms: w.at_ms,
-                    due_ms: w.due_ms,
-                    state: w.state as u32,
-                    failed: w.failed.clone(),
-                    result_tag: w.result_tag.clone(),
-                    ended_ms: w.ended_ms,
-                    notified: w.notified,
-                    sent_ms: w.sent_ms,
-                    processor: w.processor.clone(),
-                    node: w.node.clone(),
-                    fingerprint: w.fingerprint,
+                    item: message.item.clone(),
+                    at_ms: message.at_ms,
+                    due_ms: message.due_ms,
+                    state: message.state as u32,
+                    failed: message.failed.clone(),
+                    result_tag: message.result_tag.clone(),
+                    ended_ms: message.ended_ms,
+                    notified: message.notified,
+                    sent_ms: message.sent_ms,
+                    processor: message.processor.clone(),
+                    node: message.node.clone(),
+                    fingerprint: message.fingerprint,
                 })
                 .collect(),
             digest: self.digest(),
@@ -40,12 +39,12 @@
         }
     }
 
-    /// The state that a snapshot holds; an error if it is not what was taken.
+    /// Restores the state of a snapshot. Fails if the snapshot does not match its digest.
     pub fn restore(s: &Snapshot, retention: impl Into<Retention>) -> Result<PartitionState, String> {
-        let mut j = PartitionState::new(retention);
-        j.position = s.position;
-        j.revision = s.revision;
-        j.routes = s.routes.iter().map(|f| (f.route.clone(), f.clone())).collect();
+        let mut restored = PartitionState::new(retention);
+        restored.position = s.position;
+        restored.revision = s.revision;
+        restored.routes = s.routes.iter().map(|f| (f.route.clone(), f.clone())).collect();
         let mut ended = BTreeSet::new();
         for p in &s.messages {
             let state = match p.state {
@@ -53,7 +52,7 @@
                 1 => MessageState::Settled,
                 _ => MessageState::Dead,
             };
-            let w = Message {
+            let message = Message {
                 item: p.item.clone(),
                 at_ms: p.at_ms,
                 due_ms: p.due_ms,
@@ -68,23 +67,24 @@
                 fingerprint: p.fingerprint,
             };
             if state != MessageState::Pending {
-                ended.insert((j.retention.end(&w), p.position));
+                ended.insert((restored.retention.removal_time(&message), p.position));
             }
-            j.insert(p.position, w);
+            restored.insert(p.position, message);
         }
-        j.ended = ended;
-        j.placements = Placements::restore(&s.placements);
-        // A snapshot of an earlier release says it by its messages alone.
-        let latest = j.messages.values().map(|w| w.at_ms.max(w.sent_ms).max(w.ended_ms)).max();
-        j.reached_ms = s.reached_ms.max(latest.unwrap_or(0));
-        if j.digest() != s.digest {
+        restored.ended = ended;
+        restored.placements = Placements::restore(&s.placements);
+        // Snapshots of earlier releases lack `reached_ms`; it is derived from their messages.
+        let latest =
+            restored.messages.values().map(|message| message.at_ms.max(message.sent_ms).max(message.ended_ms)).max();
+        restored.reached_ms = s.reached_ms.max(latest.unwrap_or(0));
+        if restored.digest() != s.digest {
             return Err("snapshot does not match its digest".into());
         }
-        Ok(j)
+        Ok(restored)
     }
 }
 
-/// The state of a partition at a position of its log.
+/// The state of a partition at a log position.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Snapshot {
     #[prost(uint64, tag = "1")]
@@ -97,14 +97,14 @@
     pub messages: Vec<SnapshotMessage>,
     #[prost(fixed64, tag = "5")]
     pub digest: u64,
-    /// The latest time that a record has.
+    /// The latest timestamp of an applied record.
     #[prost(uint64, tag = "15")]
     pub reached_ms: u64,
     #[prost(message, repeated, tag = "16")]
     pub placements: Vec<SnapshotPlacement>,
 }
 
-/// One message, as a snapshot holds it.
+/// A message as encoded in a snapshot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SnapshotMessage {
     #[prost(uint64, tag = "1")]
