--- a/crates/partition/src/record.rs
+++ b/crates/partition/src/record.rs
@@ -22,7 +22,7 @@
     Answer(AnswerRecord),
     #[prost(message, tag = "5")]
     Notified(Positions),
-    /// Messages that have exceeded their retention time.
+    /// Messages that exceeded their retention time or whose route was replaced.
     #[prost(message, tag = "6")]
     Expire(Positions),
     #[prost(message, tag = "7")]
