--- a/crates/partition/src/replica.rs
+++ b/crates/partition/src/replica.rs
@@ -1,5 +1,5 @@
-//! One partition on one node: its log, its fold, and how ownership passes.
-//! A state machine without I/O; the shell carries out its effects in order.
+//! A partition replica on one node: its log, its state, replication and ownership transfer.
+//! A state machine without I/O; the caller executes its effects in order.
 
 mod follower;
 mod log;
@@ -23,9 +23,9 @@
 }
 
 #[derive(Debug)]
-#[allow(clippy::large_enum_variant)] // They live for one step.
+#[allow(clippy::large_enum_variant)] // Short-lived: dropped at the end of the step.
 pub enum Effect {
-    /// Write; then report `Synced` with the term and the end given here.
+    /// Delete, write and sync; then call `handle_synced` with the `term` and `end` given here.
     Persist {
         del: Option<(u64, u64)>,
         put: Vec<(u64, LogEntry)>,
@@ -35,31 +35,34 @@
         end: u64,
     },
     Send(String, Body),
-    /// The owner's fold has moved.
+    /// The owner applied committed records.
     Applied(Vec<Change>),
     BecameOwner {
         seized: bool,
     },
-    /// Not the owner any more; who is, if known.
+    /// This node is no longer the owner; holds the new owner, or an empty string if unknown.
     SteppedDown(String),
+    /// Submit an order to the control nodes.
     SubmitOrder(Order),
-    /// The shadow state differs from what the owner's epoch record says.
+    /// The follower's digest differs from the one in the owner's epoch record for this position.
     DigestMismatch(u64),
 }
 
+/// Replication metadata of a partition, stored with its log.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Meta {
     #[prost(uint64, tag = "1")]
     pub term: u64,
     #[prost(uint64, tag = "2")]
     pub commit: u64,
-    /// The snapshot on disk is the fold of all up to here.
+    /// Position of the snapshot on disk; the stored log starts after it.
     #[prost(uint64, tag = "3")]
     pub base: u64,
     #[prost(uint64, tag = "4")]
     pub base_term: u64,
 }
 
+/// The owner's view of another replica.
 #[derive(Default, Debug)]
 struct Peer {
     sent: u64,
@@ -70,62 +73,76 @@
     verified: u64,
     verified_from: u64,
     mismatch: bool,
-    /// A snapshot is under way up to this position.
+    /// Position of the snapshot that is being sent; 0 if there is none.
     snapshot_position: u64,
     incarnation: u64,
-    /// When the majority last refused to count it in.
+    /// When the control nodes last refused to add it to the in-sync set.
     join_refused_at: u64,
-    /// When it was last heard, or held all there was.
+    /// When it was last heard from or last had no entries left to acknowledge.
     silent_since: u64,
-    /// When another node was last asked for in its place.
+    /// When a replacement for it was last requested.
     replace_requested_at: u64,
 }
 
 impl Peer {
-    /// One that is presumed to be level now.
+    /// A peer that is assumed to be up to date.
     fn new(now: u64) -> Peer {
         Peer { last_heard: now, silent_since: now, ..Peer::default() }
     }
 }
 
-/// A follower in sync that has owed an acknowledgement for so many times `again`, with nothing
-/// heard from it, is to be replaced, if it was heard before: one that never was may be starting. A process that has ended is known to the leader much
-/// sooner, by its lease; what is left are links that are cut between this pair of nodes.
+/// Number of resend intervals after which the owner requests a replacement for an in-sync follower
+/// that has unacknowledged entries and from which nothing was received. Applies only to followers
+/// that were heard from before, since others may still be starting. The control leader detects ended
+/// processes much sooner, through their leases; this covers broken links between two nodes.
 const REPLACE_AFTER_RESENDS: u64 = 3;
 
+/// The phases of a planned move, in order.
 #[derive(Clone, Debug, PartialEq)]
 enum Phase {
+    /// Waiting until the candidate's digests have matched for long enough.
     Verifying,
-    RequestingGrant { requested_at: u64 },
-    Stopping { term: u64, in_sync: Vec<String> },
-    StopWritten { position: u64 },
+    RequestingGrant {
+        requested_at: u64,
+    },
+    /// The grant was received. No new records are accepted; waiting for the log to be committed.
+    Stopping {
+        term: u64,
+        in_sync: Vec<String>,
+    },
+    /// The stop marker was appended at `position`; waiting for it to be committed.
+    StopWritten {
+        position: u64,
+    },
 }
 
 #[derive(Clone, Debug)]
 struct PlannedMove {
     candidate: String,
+    /// This node leaves the in-sync set with the move.
     leaving: bool,
     started_at: u64,
     phase: Phase,
 }
 
-/// An owner with messages that have not ended writes an epoch record at least once in so
-/// many times `epoch`, so that its log says how much time has passed.
+/// An owner with pending messages writes an epoch record at least once per this many epoch
+/// intervals, so that its log records how much time has passed.
 const TIME_RECORD_EPOCHS: u64 = 8;
 
-/// Bounds of the state machine's clock, in milliseconds.
+/// Intervals and limits of a replica; times are in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Between epoch records.
+    /// Interval between epoch records.
     pub epoch_interval_ms: u64,
-    /// Over which a match must have held before a cutover.
+    /// How long a candidate's digests must have matched before ownership may be transferred.
     pub match_window_ms: u64,
-    /// Silence after which a follower is sent the rest again.
+    /// Time without an acknowledgement after which entries are sent again.
     pub resend_ms: u64,
+    /// Retention time of the state of an ended message.
     pub status_ms: u64,
-    /// For how long operations' keys are remembered; 0 where there are none.
+    /// Retention time of operation keys; 0 if they are not used.
     pub operations_ms: u64,
-    /// Bytes of records kept in memory for followers that are behind.
+    /// Bytes of records kept in memory for lagging followers.
     pub log_cache_bytes: usize,
 }
 
@@ -163,17 +180,18 @@
     pub verified: u64,
     verified_from: u64,
     pub mismatch: bool,
-    /// Up to here the log is known to be the owner's, at this term.
+    /// The log up to this position is known to match the owner's log at this term.
     matched: u64,
-    /// The gap that was told last: term, end, and when.
+    /// The last gap reported to the owner: term, end of the log, and time of the report.
     last_gap_report: (u64, u64, u64),
     snapshot_chunks: Vec<Bytes>,
+    /// Term and position of the snapshot that `snapshot_chunks` belongs to.
     incoming_snapshot: (u64, u64),
     ownership_requested_at: u64,
     ownership_confirmed: bool,
-    /// The majority's entry that its last word came from: older ones say nothing.
+    /// Version of the last assignment received; older ones are ignored.
     assignment_version: u64,
-    /// Where the log ended when this node became owner.
+    /// End of the log when this node became owner.
     takeover_end: u64,
     timing: Timing,
     since_snapshot: usize,
@@ -181,10 +199,10 @@
 }
 
 impl PartitionReplica {
-    pub fn new(id: u32, me: &str, timing: Timing) -> PartitionReplica {
+    pub fn new(id: u32, node: &str, timing: Timing) -> PartitionReplica {
         PartitionReplica {
             id,
-            node: me.into(),
+            node: node.into(),
             incarnation: 0,
             term: 0,
             role: ReplicaRole::Follower,
@@ -223,62 +241,66 @@
         }
     }
 
-    /// What the disk held: a snapshot, the entries behind it, and the meta record.
+    /// Restores a replica from disk: a snapshot, the entries after it, and the meta record.
     pub fn reload(
         id: u32,
-        me: &str,
+        node: &str,
         timing: Timing,
         meta: &Meta,
         snapshot: Option<Bytes>,
         entries: Vec<(u64, LogEntry)>,
     ) -> Result<PartitionReplica, String> {
-        let mut m = PartitionReplica::new(id, me, timing);
-        m.term = meta.term;
-        if let Some(s) = snapshot {
-            let s = Snapshot::decode(s).map_err(|e| format!("partition {id}: snapshot: {e}"))?;
-            if s.position != meta.base {
-                return Err(format!("partition {id}: snapshot is of {}, not of {}", s.position, meta.base));
+        let mut replica = PartitionReplica::new(id, node, timing);
+        replica.term = meta.term;
+        if let Some(data) = snapshot {
+            let snapshot = Snapshot::decode(data).map_err(|e| format!("partition {id}: snapshot: {e}"))?;
+            if snapshot.position != meta.base {
+                return Err(format!(
+                    "partition {id}: snapshot is at position {}, expected {}",
+                    snapshot.position, meta.base
+                ));
             }
-            m.state = PartitionState::restore(&s, timing.retention()).map_err(|e| format!("partition {id}: {e}"))?;
-            m.clock.observe_record(m.state.reached_ms(), 0);
+            replica.state =
+                PartitionState::restore(&snapshot, timing.retention()).map_err(|e| format!("partition {id}: {e}"))?;
+            replica.clock.observe_record(replica.state.reached_ms(), 0);
         } else if meta.base != 0 {
-            return Err(format!("partition {id}: the snapshot of {} is missing", meta.base));
+            return Err(format!("partition {id}: snapshot at position {} is missing", meta.base));
         }
-        m.first_position = meta.base + 1;
-        m.base_term = meta.base_term;
-        m.disk_base = meta.base;
-        m.disk_base_term = meta.base_term;
-        for (pos, e) in entries {
-            if pos < m.first_position {
+        replica.first_position = meta.base + 1;
+        replica.base_term = meta.base_term;
+        replica.disk_base = meta.base;
+        replica.disk_base_term = meta.base_term;
+        for (position, entry) in entries {
+            if position < replica.first_position {
                 continue;
             }
-            if pos != m.end() + 1 {
-                return Err(format!("partition {id}: entry {} is missing, {pos} is there", m.end() + 1));
+            if position != replica.end() + 1 {
+                return Err(format!("partition {id}: entry {} is missing, found entry {position}", replica.end() + 1));
             }
-            m.log_bytes += e.record.len();
-            m.log.push_back(e);
+            replica.log_bytes += entry.record.len();
+            replica.log.push_back(entry);
         }
-        m.since_snapshot = m.log_bytes;
-        m.durable = m.end();
-        m.commit = meta.commit.clamp(meta.base, m.end());
-        m.apply_committed(0, false, &mut Vec::new())?;
-        Ok(m)
+        replica.since_snapshot = replica.log_bytes;
+        replica.durable = replica.end();
+        replica.commit = meta.commit.clamp(meta.base, replica.end());
+        replica.apply_committed(0, false, &mut Vec::new())?;
+        Ok(replica)
     }
 
-    /// Whether the owner takes new records now.
+    /// Whether this node is the owner and accepts new records.
     pub fn is_writable(&self) -> bool {
         self.role == ReplicaRole::Owner
             && !matches!(&self.planned_move, Some(m) if matches!(m.phase, Phase::Stopping { .. } | Phase::StopWritten { .. }))
     }
 
-    /// Whether the fold holds all that may have been committed before this node
-    /// became owner: until then it cannot say that a message is not known.
+    /// Whether all records that may have been committed before this node became owner have been
+    /// applied. Until then it cannot report that a message is unknown.
     pub fn is_caught_up(&self) -> bool {
         self.state.position >= self.takeover_end
     }
 
-    /// Whether the owner can say what becomes of a run: what the log may hold of it is
-    /// folded. Before that a message that is not there need not be one that has ended.
+    /// Whether this node is the owner and can process reports of runs, that is, all records that may
+    /// concern a run have been applied. Before that, a missing message has not necessarily ended.
     pub fn accepts_reports(&self) -> bool {
         self.is_writable() && self.is_caught_up()
     }
@@ -287,7 +309,7 @@
         self.planned_move.is_some()
     }
 
-    /// The followers that a planned move could go to, best first.
+    /// The followers that are eligible for a planned move, in order of preference.
     pub fn candidates(&self) -> Vec<String> {
         let mut all: Vec<String> = self
             .in_sync
@@ -299,7 +321,7 @@
         all
     }
 
-    /// The nodes in sync that have not acknowledged all of the log, which holds up its commit.
+    /// The in-sync nodes that have not acknowledged the whole log and therefore delay its commit.
     pub fn unacknowledged_replicas(&self) -> Vec<&str> {
         let has_all = |node: &str| self.peers.get(node).is_some_and(|peer| peer.acked >= self.end());
         self.in_sync.iter().map(String::as_str).filter(|node| *node != self.node && !has_all(node)).collect()
@@ -309,14 +331,13 @@
         &self.in_sync
     }
 
-    // ---- the owner's side ----
-
+    /// Applies committed records. `live` is false while the replica is restored from disk.
     fn apply_committed(&mut self, now: u64, live: bool, out: &mut Vec<Effect>) -> Result<(), String> {
         let mut changes = Vec::new();
         while self.state.position < self.commit {
             let pos = self.state.position + 1;
             let Some(e) = self.entry(pos) else {
-                return Err(format!("partition {}: entry {pos} is committed and not there", self.id));
+                return Err(format!("partition {}: committed entry {pos} is missing", self.id));
             };
             let record =
                 Record::decode(e.record.clone()).map_err(|e| format!("partition {}: entry {pos}: {e}", self.id))?;
@@ -355,54 +376,53 @@
         Ok(())
     }
 
-    // ---- ownership ----
-
-    // ---- the follower's side ----
-
-    // ---- both ----
-
-    /// The partition's time, for what its owner writes now. `cluster_ms` is the cluster's
-    /// time, if it is known here: the first call after a start of the process may take it
-    /// over as it stands, so it comes with the lease.
+    /// Timestamp for a record that the owner writes now. `cluster_ms` is the cluster time, if known;
+    /// it comes with the lease, because the first call after a process start may step to it.
     pub fn owner_time(&mut self, cluster_ms: Option<u64>, now: u64) -> u64 {
         self.clock.owner_time(cluster_ms, now)
     }
 
-    /// The partition's time; None where none runs since the start of this process.
+    /// The partition time; `None` if its clock has not been started since the process started.
     pub fn time(&self, now: u64) -> Option<u64> {
         self.clock.running_time(now)
     }
 
-    /// The latest time that is known to have passed here.
+    /// The latest partition time known here.
     pub fn reached_ms(&self, now: u64) -> u64 {
         self.clock.latest_time(now)
     }
 
-    /// How far the partition's time is from the cluster's, which it slews to.
+    /// The remaining correction of the partition time towards cluster time, applied by slewing.
     pub fn correction_ms(&self, now: u64) -> i64 {
         self.clock.correction_ms(now)
     }
 
+    /// Performs the owner's periodic work: epoch records, retries, resends and planned moves.
     pub fn tick(&mut self, now: u64, at_ms: u64, out: &mut Vec<Effect>) {
         if self.role != ReplicaRole::Owner {
             return;
         }
-        let moving_verify = matches!(&self.planned_move, Some(m) if m.phase == Phase::Verifying);
+        let is_verifying = matches!(&self.planned_move, Some(m) if m.phase == Phase::Verifying);
         let last = self.epoch_times.last_key_value().map_or(0, |(_, t)| *t);
-        let due = if moving_verify { self.timing.match_window_ms } else { self.timing.epoch_interval_ms };
-        // What has not ended measures time: the log says now and then how much has passed.
-        let timed = !self.state.pending.is_empty() && now >= last + TIME_RECORD_EPOCHS * self.timing.epoch_interval_ms;
-        if now >= last + due && (self.end() > self.last_epoch || moving_verify || timed) {
+        let due = if is_verifying { self.timing.match_window_ms } else { self.timing.epoch_interval_ms };
+        // Pending messages depend on elapsed time, so the log has to record it regularly.
+        let time_record_due =
+            !self.state.pending.is_empty() && now >= last + TIME_RECORD_EPOCHS * self.timing.epoch_interval_ms;
+        if now >= last + due && (self.end() > self.last_epoch || is_verifying || time_record_due) {
             self.write_epoch(at_ms, now, out);
         }
         if let Some(m) = &self.planned_move
             && m.phase == Phase::Verifying
             && now > m.started_at + 40 * self.timing.match_window_ms
         {
-            telemetry::error!("partition {}: no match with {} in time, move given up", self.id, m.candidate);
+            telemetry::error!(
+                "partition {}: planned move to {} abandoned: its digests were not verified in time",
+                self.id,
+                m.candidate
+            );
             self.planned_move = None;
         }
-        let again: Vec<String> = self
+        let pending_joins: Vec<String> = self
             .joining
             .iter_mut()
             .filter(|(_, asked)| now > **asked + self.timing.resend_ms)
@@ -411,7 +431,7 @@
                 n.clone()
             })
             .collect();
-        for n in again {
+        for n in pending_joins {
             self.request_join(&n, out);
         }
         if !self.ownership_confirmed && now > self.ownership_requested_at + self.timing.resend_ms {
@@ -422,9 +442,9 @@
             self.replicas.iter().chain(&self.in_sync).filter(|n| **n != self.node).cloned().collect();
         for n in names {
             let commit = self.commit;
-            let again = self.timing.resend_ms;
-            // One that is to be in sync and is not is asked where it is, even
-            // when there is nothing to send.
+            let resend_ms = self.timing.resend_ms;
+            // A replica that is not in the in-sync set yet is probed for its log position even if
+            // there is nothing to send.
             let out_of_sync = !self.in_sync.contains(&n) && !self.joining.contains_key(&n);
             let p = self.peers.entry(n.clone()).or_insert_with(|| Peer::new(now));
             if p.acked >= end {
@@ -432,7 +452,7 @@
             } else if !out_of_sync
                 && self.replicas.contains(&n)
                 && p.incarnation != 0
-                && now > p.silent_since.max(p.replace_requested_at) + REPLACE_AFTER_RESENDS * again
+                && now > p.silent_since.max(p.replace_requested_at) + REPLACE_AFTER_RESENDS * resend_ms
             {
                 p.replace_requested_at = now;
                 telemetry::count("followers_unheard");
@@ -444,8 +464,8 @@
                     ..Order::default()
                 }));
             }
-            if (p.acked < end || out_of_sync) && now > p.last_heard.max(p.last_resent) + again {
-                // Lost on the way, or the node is new here: say where we are.
+            if (p.acked < end || out_of_sync) && now > p.last_heard.max(p.last_resent) + resend_ms {
+                // Messages were lost, or the node is new: send again from the last acknowledged entry.
                 p.last_resent = now;
                 p.snapshot_position = 0;
                 p.sent = p.acked.max(self.first_position - 1).min(end);
@@ -454,7 +474,7 @@
                 self.send_to(&n, now, true, out);
             }
         }
-        // Nodes that are to hold nothing any more.
+        // Removes former replicas from the in-sync set once all current replicas are in it.
         if self.planned_move.is_none() && self.replicas.iter().all(|h| self.in_sync.contains(h)) {
             for n in self.in_sync.clone() {
                 if !self.replicas.contains(&n) && n != self.node {
