--- a/crates/partition/src/replica/follower.rs
+++ b/crates/partition/src/replica/follower.rs
@@ -1,65 +1,68 @@
-//! The follower: records and snapshots that come from the owner.
+//! The follower's side of replication: entries and snapshots received from the owner.
 
 use super::*;
 
 impl PartitionReplica {
-    pub fn handle_entries(&mut self, m: Entries, now: u64, out: &mut Vec<Effect>) {
-        if m.term < self.term || (m.term == self.term && self.role == ReplicaRole::Owner) {
-            out.push(Effect::Send(m.owner.clone(), Body::EntriesAck(self.ack(false))));
+    pub fn handle_entries(&mut self, message: Entries, now: u64, out: &mut Vec<Effect>) {
+        if message.term < self.term || (message.term == self.term && self.role == ReplicaRole::Owner) {
+            out.push(Effect::Send(message.owner.clone(), Body::EntriesAck(self.ack(false))));
             return;
         }
-        if m.term > self.term {
-            self.become_follower(m.term, &m.owner, out);
+        if message.term > self.term {
+            self.become_follower(message.term, &message.owner, out);
         }
-        self.owner.clone_from(&m.owner);
-        self.clock.observe_owner_time(m.time_ms, now);
+        self.owner.clone_from(&message.owner);
+        self.clock.observe_owner_time(message.time_ms, now);
         let end = self.end();
-        let joins = m.prev <= end && (m.prev + 1 < self.first_position || self.term_at(m.prev) == Some(m.prev_term));
-        if !joins {
-            if m.prev <= end {
-                // What is behind the committed part may be another term's.
+        let is_contiguous = message.prev <= end
+            && (message.prev + 1 < self.first_position || self.term_at(message.prev) == Some(message.prev_term));
+        if !is_contiguous {
+            if message.prev <= end {
+                // Uncommitted entries may be from another term.
                 self.truncate_after(self.commit.max(self.first_position - 1), out);
             }
-            // Told once: whatever else is under way joins on no better.
+            // Reported once: entries that are still in flight do not close the gap either.
             let (term, end, at) = self.last_gap_report;
             if (term, end) != (self.term, self.end()) || now > at + self.timing.resend_ms / 2 {
                 self.last_gap_report = (self.term, self.end(), now);
-                out.push(Effect::Send(m.owner.clone(), Body::EntriesAck(self.ack(true))));
+                out.push(Effect::Send(message.owner.clone(), Body::EntriesAck(self.ack(true))));
             }
             return;
         }
         let mut put = Vec::new();
-        let mut pos = m.prev;
-        for e in m.entries {
-            pos += 1;
-            if pos < self.first_position {
+        let mut position = message.prev;
+        for e in message.entries {
+            position += 1;
+            if position < self.first_position {
                 continue;
             }
-            match self.term_at(pos) {
+            match self.term_at(position) {
                 Some(t) if t == e.term => continue,
-                Some(_) => self.truncate_after(pos - 1, out),
+                Some(_) => self.truncate_after(position - 1, out),
                 None => {}
             }
             self.log_bytes += e.record.len();
             self.since_snapshot += e.record.len();
             self.log.push_back(e.clone());
-            put.push((pos, e));
+            put.push((position, e));
         }
-        let fresh = !put.is_empty();
-        self.matched = self.matched.max(pos);
-        self.commit = self.commit.max(m.commit.min(pos));
-        if fresh {
+        let has_new_entries = !put.is_empty();
+        self.matched = self.matched.max(position);
+        self.commit = self.commit.max(message.commit.min(position));
+        if has_new_entries {
             let end = self.end();
             out.push(Effect::Persist { del: None, put, meta: self.meta(), snapshot: None, term: self.term, end });
         }
         if let Err(e) = self.apply_committed(now, true, out) {
             telemetry::error!("{e}");
         }
-        if !fresh && self.role == ReplicaRole::Follower {
+        if !has_new_entries && self.role == ReplicaRole::Follower {
             out.push(Effect::Send(self.owner.clone(), Body::EntriesAck(self.ack(false))));
         }
     }
 
+    /// An acknowledgement. With `gap`, its position is the end of the log, after which the owner is to
+    /// resend.
     pub(super) fn ack(&mut self, gap: bool) -> EntriesAck {
         EntriesAck {
             partition: self.id,
@@ -74,19 +77,19 @@
         }
     }
 
-    pub fn handle_chunk(&mut self, c: Chunk, now: u64, out: &mut Vec<Effect>) {
-        if c.term < self.term || (c.term == self.term && self.role == ReplicaRole::Owner) {
+    pub fn handle_chunk(&mut self, chunk: Chunk, now: u64, out: &mut Vec<Effect>) {
+        if chunk.term < self.term || (chunk.term == self.term && self.role == ReplicaRole::Owner) {
             return;
         }
-        if c.term > self.term {
-            self.become_follower(c.term, &c.owner, out);
+        if chunk.term > self.term {
+            self.become_follower(chunk.term, &chunk.owner, out);
         }
-        self.owner.clone_from(&c.owner);
-        if c.position <= self.commit || self.term_at(c.position) == Some(c.position_term) {
-            // Nothing new, and what is held behind it counts for the owner already.
-            if c.last {
-                self.matched = self.matched.max(c.position);
-                self.commit = self.commit.max(c.position);
+        self.owner.clone_from(&chunk.owner);
+        if chunk.position <= self.commit || self.term_at(chunk.position) == Some(chunk.position_term) {
+            // The snapshot contains nothing new, and the owner already counts on the entries after it.
+            if chunk.last {
+                self.matched = self.matched.max(chunk.position);
+                self.commit = self.commit.max(chunk.position);
                 if let Err(e) = self.apply_committed(now, true, out) {
                     telemetry::error!("{e}");
                 }
@@ -95,16 +98,16 @@
             }
             return;
         }
-        if c.part == 0 {
+        if chunk.part == 0 {
             self.snapshot_chunks.clear();
-            self.incoming_snapshot = (c.term, c.position);
+            self.incoming_snapshot = (chunk.term, chunk.position);
         }
-        if self.incoming_snapshot != (c.term, c.position) || self.snapshot_chunks.len() != c.part as usize {
+        if self.incoming_snapshot != (chunk.term, chunk.position) || self.snapshot_chunks.len() != chunk.part as usize {
             return;
         }
-        self.snapshot_chunks.push(c.data);
-        if !c.last {
-            // So that the owner sees it coming and does not begin again.
+        self.snapshot_chunks.push(chunk.data);
+        if !chunk.last {
+            // Tells the owner that the transfer is in progress, so that it does not restart it.
             let ack = self.ack(false);
             out.push(Effect::Send(self.owner.clone(), Body::EntriesAck(ack)));
             return;
@@ -115,7 +118,7 @@
             .map_err(|e| e.to_string())
             .and_then(|s| PartitionState::restore(&s, self.timing.retention()));
         let state = match restored {
-            Ok(j) => j,
+            Ok(state) => state,
             Err(e) => {
                 telemetry::error!("partition {}: {e}", self.id);
                 return;
@@ -127,25 +130,24 @@
         self.log.clear();
         self.log_bytes = 0;
         self.since_snapshot = 0;
-        self.first_position = c.position + 1;
-        self.base_term = c.position_term;
-        self.disk_base = c.position;
-        self.disk_base_term = c.position_term;
-        self.commit = c.position;
-        self.matched = c.position;
+        self.first_position = chunk.position + 1;
+        self.base_term = chunk.position_term;
+        self.disk_base = chunk.position;
+        self.disk_base_term = chunk.position_term;
+        self.commit = chunk.position;
+        self.matched = chunk.position;
         self.durable = 0;
         self.digests.clear();
         self.verified = 0;
         self.verified_from = 0;
         self.mismatch = false;
-        let _ = now;
         out.push(Effect::Persist {
             del: (end >= from).then_some((from, end)),
             put: Vec::new(),
             meta: self.meta(),
             snapshot: Some(data),
             term: self.term,
-            end: c.position,
+            end: chunk.position,
         });
     }
 }
