--- a/crates/partition/src/replica/log.rs
+++ b/crates/partition/src/replica/log.rs
@@ -1,8 +1,9 @@
-//! The log of a partition: appending, compacting, cutting off what was not committed.
+//! The log of a partition: appending, compaction, and truncation of uncommitted entries.
 
 use super::*;
 
 impl PartitionReplica {
+    /// Position of the last entry.
     pub fn end(&self) -> u64 {
         self.first_position + self.log.len() as u64 - 1
     }
@@ -19,7 +20,8 @@
         Meta { term: self.term, commit: self.commit, base: self.disk_base, base_term: self.disk_base_term }
     }
 
-    /// Adds a record; it counts once it is committed. None when closed.
+    /// Appends a record, which takes effect once it is committed. `None` if the replica is not
+    /// writable.
     pub fn append(&mut self, record: &Record, now: u64, out: &mut Vec<Effect>) -> Option<u64> {
         if !self.is_writable() {
             return None;
@@ -45,7 +47,7 @@
         pos
     }
 
-    /// Drops from memory what every follower has and the fold is past.
+    /// Drops applied entries that all in-sync followers hold from memory.
     pub(super) fn trim(&mut self) {
         if self.log_bytes <= self.timing.log_cache_bytes {
             return;
@@ -66,7 +68,8 @@
         }
     }
 
-    /// Cuts the log on disk behind a snapshot once it has grown by so much.
+    /// Writes a snapshot and deletes the log up to it from disk, once the log has grown by more than
+    /// `limit` bytes since the last snapshot.
     pub fn compact(&mut self, limit: usize, out: &mut Vec<Effect>) {
         let position = self.state.position;
         if self.since_snapshot <= limit || position <= self.disk_base || position > self.durable {
