--- a/crates/partition/src/replica/ownership.rs
+++ b/crates/partition/src/replica/ownership.rs
@@ -1,63 +1,62 @@
-//! Ownership: what the majority assigns, and how a term begins and ends here.
+//! Ownership: assignments by the control nodes, and the start and end of a term on this node.
 
 use super::*;
 
 impl PartitionReplica {
-    /// The majority's word on this partition.
-    pub fn handle_assignment(&mut self, p: &Partition, now: u64, out: &mut Vec<Effect>) {
-        if p.changed < self.assignment_version {
-            // It came by another way than a newer one: an in-sync set that went back
-            // would have commits that a member does not hold.
+    /// Handles the assignment of this partition, as committed by the control nodes.
+    pub fn handle_assignment(&mut self, partition: &Partition, now: u64, out: &mut Vec<Effect>) {
+        if partition.changed < self.assignment_version {
+            // Overtaken by a newer assignment on another path. Reverting to an older in-sync set would
+            // allow commits that a member does not hold.
             telemetry::count("assignments_outdated");
             return;
         }
-        self.assignment_version = p.changed;
-        self.replicas.clone_from(&p.replicas);
-        if p.term > self.term {
-            if p.owner == self.node {
-                if !p.in_sync.contains(&self.node) || p.joined_incarnation(&self.node) != self.incarnation {
-                    // Said of a former incarnation, whose disk this one may not have.
-                    self.become_follower(p.term, "", out);
+        self.assignment_version = partition.changed;
+        self.replicas.clone_from(&partition.replicas);
+        if partition.term > self.term {
+            if partition.owner == self.node {
+                if !partition.in_sync.contains(&self.node)
+                    || partition.joined_incarnation(&self.node) != self.incarnation
+                {
+                    // Concerns an earlier incarnation, whose disk contents may have been lost.
+                    self.become_follower(partition.term, "", out);
                     return;
                 }
-                self.become_owner(p.term, p.in_sync.clone(), p.seized, now, out);
+                self.become_owner(partition.term, partition.in_sync.clone(), partition.seized, now, out);
                 self.ownership_confirmed = true;
             } else {
-                self.become_follower(p.term, &p.owner, out);
+                self.become_follower(partition.term, &partition.owner, out);
             }
-        } else if p.term == self.term {
-            if self.role == ReplicaRole::Owner && p.owner == self.node {
+        } else if partition.term == self.term {
+            if self.role == ReplicaRole::Owner && partition.owner == self.node {
                 self.ownership_confirmed = true;
-                if self.in_sync != p.in_sync {
-                    self.in_sync.clone_from(&p.in_sync);
-                    self.joining.retain(|n, _| !p.in_sync.contains(n));
+                if self.in_sync != partition.in_sync {
+                    self.in_sync.clone_from(&partition.in_sync);
+                    self.joining.retain(|n, _| !partition.in_sync.contains(n));
                     self.advance_commit(now, out);
                 }
-                match &p.grant {
-                    Some(g) => {
-                        let stopping = Phase::Stopping { term: g.term, in_sync: g.in_sync.clone() };
+                match &partition.grant {
+                    Some(grant) => {
+                        let stopping = Phase::Stopping { term: grant.term, in_sync: grant.in_sync.clone() };
                         match &mut self.planned_move {
-                            Some(m) if m.candidate == g.candidate => {
-                                if !matches!(m.phase, Phase::StopWritten { .. }) {
-                                    m.phase = stopping;
+                            Some(planned) if planned.candidate == grant.candidate => {
+                                if !matches!(planned.phase, Phase::StopWritten { .. }) {
+                                    planned.phase = stopping;
                                 }
                             }
                             _ => {
-                                let candidate = g.candidate.clone();
+                                let candidate = grant.candidate.clone();
                                 self.planned_move =
                                     Some(PlannedMove { candidate, leaving: false, started_at: now, phase: stopping });
                             }
                         }
                         self.advance_move(now, out);
                     }
-                    None => {
-                        if matches!(&self.planned_move, Some(m) if matches!(m.phase, Phase::Stopping { .. })) {
-                            // Granted by an answer that was ahead of this news.
-                        }
-                    }
+                    // A grant received earlier, in an `OrderAck`, may be newer than this assignment.
+                    None => {}
                 }
-            } else if self.role == ReplicaRole::Follower && p.owner != self.node {
-                self.owner.clone_from(&p.owner);
+            } else if self.role == ReplicaRole::Follower && partition.owner != self.node {
+                self.owner.clone_from(&partition.owner);
             }
         }
     }
@@ -80,7 +79,7 @@
         self.epoch_times.clear();
         self.snapshot_chunks.clear();
         self.read_uncommitted_times(now);
-        // Followers say themselves where they are.
+        // Followers report their own log positions.
         let end = self.end();
         self.takeover_end = end;
         for n in self.replicas.iter().chain(&self.in_sync).filter(|n| **n != self.node) {
@@ -95,7 +94,8 @@
         self.advance_commit(now, out);
     }
 
-    /// What the log holds behind the committed part may have been written in its time too.
+    /// Raises the partition time to the timestamps of uncommitted entries, which may have been
+    /// committed before this node became owner.
     fn read_uncommitted_times(&mut self, now: u64) {
         for pos in self.state.position + 1..=self.end() {
             let record = self.entry(pos).and_then(|e| Record::decode(e.record.clone()).ok());
@@ -119,7 +119,8 @@
         self.verified_from = 0;
     }
 
-    /// This process goes on in another incarnation: what it owned was another's word.
+    /// Sets a new incarnation of this process. Ownership ends, since it was assigned to the former
+    /// incarnation.
     pub fn set_incarnation(&mut self, incarnation: u64, out: &mut Vec<Effect>) {
         self.incarnation = incarnation;
         if self.role == ReplicaRole::Owner {
@@ -127,11 +128,11 @@
         }
     }
 
-    /// The candidate saw the committed stop marker that names it.
-    pub(super) fn take_over_at_stop(&mut self, now: u64, s: Stop, out: &mut Vec<Effect>) {
+    /// Takes over at a committed stop marker that names this node as the candidate.
+    pub(super) fn take_over_at_stop(&mut self, now: u64, stop: Stop, out: &mut Vec<Effect>) {
         telemetry::count("splices_resumed");
-        telemetry::change!("partition {} spliced at {}: owner at term {}", self.id, s.splice, s.term);
-        self.become_owner(s.term, s.in_sync, false, now, out);
+        telemetry::change!("partition {} spliced at {}: owner at term {}", self.id, stop.splice, stop.term);
+        self.become_owner(stop.term, stop.in_sync, false, now, out);
         self.ownership_confirmed = false;
         self.request_ownership(now, out);
     }
@@ -148,19 +149,19 @@
         }));
     }
 
-    /// The majority's answer to something asked.
+    /// Handles the control nodes' answer to an order.
     pub fn handle_order_ack(&mut self, order: &Order, ack: &OrderAck, now: u64, out: &mut Vec<Effect>) {
-        if let Some(p) = &ack.partition {
-            self.handle_assignment(p, now, out);
+        if let Some(partition) = &ack.partition {
+            self.handle_assignment(partition, now, out);
         }
-        let join = order.kind == OrderKind::Join as i32;
-        if join
+        let is_join = order.kind == OrderKind::Join as i32;
+        if is_join
             && !ack.ok
             && !ack.refused
             && order.seen != self.assignment_version
             && self.joining.contains_key(&order.node)
         {
-            // Asked by an older word on this partition: at once by the newer one.
+            // The order was based on an outdated assignment: retry at once with the newer one.
             self.joining.insert(order.node.clone(), now);
             self.request_join(&order.node, out);
         }
@@ -169,8 +170,8 @@
                 Ok(OrderKind::Grant) => self.planned_move = None,
                 Ok(OrderKind::Join) => {
                     self.joining.remove(&order.node);
-                    if let Some(p) = self.peers.get_mut(&order.node) {
-                        p.join_refused_at = now;
+                    if let Some(peer) = self.peers.get_mut(&order.node) {
+                        peer.join_refused_at = now;
                     }
                     self.advance_commit(now, out);
                 }
