--- a/crates/partition/src/replica/replication.rs
+++ b/crates/partition/src/replica/replication.rs
@@ -1,61 +1,61 @@
-//! Replication: what is sent to the other replicas, what they hold, and what is
-//! committed by it.
+//! The owner's side of replication: sending entries and snapshots, tracking acknowledgements, and
+//! advancing the commit position.
 
 use super::*;
 
 impl PartitionReplica {
-    /// Sends followers what they lack. Called once after a batch of appends.
+    /// Sends missing entries to the followers. Called once after a batch of appends.
     pub fn flush(&mut self, now: u64, out: &mut Vec<Effect>) {
         if self.role != ReplicaRole::Owner {
             return;
         }
         let names: Vec<String> = self.replicas.iter().chain(&self.in_sync).cloned().collect();
         let mut seen = HashSet::new();
-        for n in names {
-            if n != self.node && seen.insert(n.clone()) {
-                self.send_to(&n, now, false, out);
+        for node in names {
+            if node != self.node && seen.insert(node.clone()) {
+                self.send_to(&node, now, false, out);
             }
         }
     }
 
-    pub(super) fn send_to(&mut self, node: &str, now: u64, notice: bool, out: &mut Vec<Effect>) {
+    pub(super) fn send_to(&mut self, node: &str, now: u64, force: bool, out: &mut Vec<Effect>) {
         let end = self.end();
-        let p = self.peers.entry(node.to_owned()).or_insert_with(|| Peer::new(now));
-        if p.snapshot_position > 0 {
+        let peer = self.peers.entry(node.to_owned()).or_insert_with(|| Peer::new(now));
+        if peer.snapshot_position > 0 {
             return;
         }
-        if p.sent >= end && !notice {
+        if peer.sent >= end && !force {
             return;
         }
-        // One that lacks much is sent the state instead of all that led to it, when
-        // that is less: bodies of what has ended are not in it.
-        let lacks = self.state.position.saturating_sub(p.sent) as usize;
-        let behind = lacks > 256 && {
-            let from = (p.sent + 1).saturating_sub(self.first_position) as usize;
-            let bytes: usize = self.log.iter().skip(from).take(lacks).map(|e| e.record.len()).sum();
+        // A replica that is far behind is sent a snapshot if that is smaller than the missing entries;
+        // snapshots do not contain the bodies of settled messages.
+        let missing = self.state.position.saturating_sub(peer.sent) as usize;
+        let prefer_snapshot = missing > 256 && {
+            let from = (peer.sent + 1).saturating_sub(self.first_position) as usize;
+            let bytes: usize = self.log.iter().skip(from).take(missing).map(|e| e.record.len()).sum();
             bytes > 2 * self.state.snapshot_bytes()
         };
-        if p.sent + 1 < self.first_position || behind {
+        if peer.sent + 1 < self.first_position || prefer_snapshot {
             self.send_snapshot(node, now, out);
             return;
         }
         let (mut entries, mut bytes) = (Vec::new(), 0);
-        let prev = p.sent;
-        let mut at = prev + 1;
-        while at <= end && bytes < 512 << 10 {
-            let e = &self.log[(at - self.first_position) as usize];
+        let prev = peer.sent;
+        let mut position = prev + 1;
+        while position <= end && bytes < 512 << 10 {
+            let e = &self.log[(position - self.first_position) as usize];
             bytes += e.record.len();
             entries.push(e.clone());
-            at += 1;
+            position += 1;
         }
         let prev_term = if prev + 1 == self.first_position {
             self.base_term
         } else {
             self.log[(prev - self.first_position) as usize].term
         };
-        p.sent = at - 1;
-        p.sent_commit = self.commit;
-        let m = Entries {
+        peer.sent = position - 1;
+        peer.sent_commit = self.commit;
+        let message = Entries {
             partition: self.id,
             term: self.term,
             owner: self.node.clone(),
@@ -65,8 +65,8 @@
             commit: self.commit,
             time_ms: self.clock.running_time(now).unwrap_or(0),
         };
-        out.push(Effect::Send(node.to_owned(), Body::Entries(m)));
-        if at <= end {
+        out.push(Effect::Send(node.to_owned(), Body::Entries(message)));
+        if position <= end {
             self.send_to(node, now, false, out);
         }
     }
@@ -75,10 +75,10 @@
         let position = self.state.position;
         let data: Bytes = self.state.snapshot().encode_to_vec().into();
         let position_term = self.term_at(position).unwrap_or(self.base_term);
-        let size = 256 << 10;
-        let parts = data.len().div_ceil(size).max(1);
+        let chunk_bytes = 256 << 10;
+        let parts = data.len().div_ceil(chunk_bytes).max(1);
         for i in 0..parts {
-            let c = Chunk {
+            let chunk = Chunk {
                 partition: self.id,
                 term: self.term,
                 owner: self.node.clone(),
@@ -86,15 +86,15 @@
                 position_term,
                 part: i as u32,
                 last: i + 1 == parts,
-                data: data.slice(i * size..data.len().min((i + 1) * size)),
+                data: data.slice(i * chunk_bytes..data.len().min((i + 1) * chunk_bytes)),
             };
-            out.push(Effect::Send(node.to_owned(), Body::Chunk(c)));
+            out.push(Effect::Send(node.to_owned(), Body::Chunk(chunk)));
         }
         telemetry::count("snapshots_sent");
-        if let Some(p) = self.peers.get_mut(node) {
-            p.snapshot_position = position;
-            p.sent = position;
-            p.last_resent = now;
+        if let Some(peer) = self.peers.get_mut(node) {
+            peer.snapshot_position = position;
+            peer.sent = position;
+            peer.last_resent = now;
         }
     }
 
@@ -103,15 +103,15 @@
             return;
         }
         let acked = |n: &String| self.peers.get(n).map_or(0, |p| p.acked);
-        let held = self
+        let replicated = self
             .in_sync
             .iter()
             .chain(self.joining.keys())
             .filter(|n| **n != self.node)
             .map(acked)
             .fold(self.durable, u64::min);
-        if held > self.commit {
-            self.commit = held;
+        if replicated > self.commit {
+            self.commit = replicated;
             if let Err(e) = self.apply_committed(now, true, out) {
                 telemetry::error!("{e}");
             }
@@ -119,10 +119,10 @@
         }
     }
 
-    /// The disk holds all up to `end` as it was at `term`.
+    /// Handles the completion of a write that synced the log up to `end`, issued at `term`.
     pub fn handle_synced(&mut self, term: u64, end: u64, now: u64, out: &mut Vec<Effect>) {
         if term != self.term && self.role == ReplicaRole::Follower && end > self.commit {
-            // Written before the term changed: it may have been cut away since.
+            // Written before the term changed: the entries may have been truncated since.
             if self.term_at(end) != Some(term) {
                 return;
             }
@@ -139,64 +139,70 @@
         }
     }
 
-    pub fn handle_entries_ack(&mut self, a: EntriesAck, now: u64, out: &mut Vec<Effect>) {
-        if a.term > self.term && self.role == ReplicaRole::Owner {
-            // Somebody knows a higher term: the assignments will say who.
+    /// Handles an acknowledgement from a follower, and requests its addition to the in-sync set once it
+    /// holds everything that may have been committed.
+    pub fn handle_entries_ack(&mut self, ack: EntriesAck, now: u64, out: &mut Vec<Effect>) {
+        if ack.term > self.term && self.role == ReplicaRole::Owner {
+            // A higher term exists; the assignments will name its owner.
             telemetry::count("owners_fenced");
-            let term = a.term;
+            let term = ack.term;
             self.become_follower(term - 1, "", out);
             return;
         }
-        if self.role != ReplicaRole::Owner || a.term != self.term {
+        if self.role != ReplicaRole::Owner || ack.term != self.term {
             return;
         }
         let (commit, first, end, takeover_end) = (self.commit, self.first_position, self.end(), self.takeover_end);
-        let Some(p) = self.peers.get_mut(&a.node) else { return };
-        (p.last_heard, p.silent_since) = (now, now);
-        if p.incarnation != a.incarnation {
-            // Another process: what the former one had on disk may be gone.
-            p.incarnation = a.incarnation;
-            p.acked = 0;
-            p.snapshot_position = 0;
-            p.join_refused_at = 0;
-        }
-        let refused = now < p.join_refused_at + 4 * self.timing.resend_ms;
-        p.verified = a.verified;
-        p.verified_from = a.verified_from;
-        if a.mismatch && !p.mismatch {
-            telemetry::error!("partition {}: the shadow state of {} differs; no cutover to it", self.id, a.node);
-        }
-        p.mismatch = a.mismatch;
-        if a.gap {
-            p.snapshot_position = 0;
-            // Its log may end behind this one's, with what was never committed.
-            p.sent = a.durable.min(end);
-            // It may have lost its disk: what it once held does not count.
-            p.acked = p.acked.min(a.durable);
-            let behind = p.sent + 1 < first;
-            if behind && now < p.last_resent + self.timing.resend_ms {
+        let Some(peer) = self.peers.get_mut(&ack.node) else { return };
+        (peer.last_heard, peer.silent_since) = (now, now);
+        if peer.incarnation != ack.incarnation {
+            // A new process: the disk contents of the previous one may be lost.
+            peer.incarnation = ack.incarnation;
+            peer.acked = 0;
+            peer.snapshot_position = 0;
+            peer.join_refused_at = 0;
+        }
+        let refused = now < peer.join_refused_at + 4 * self.timing.resend_ms;
+        peer.verified = ack.verified;
+        peer.verified_from = ack.verified_from;
+        if ack.mismatch && !peer.mismatch {
+            telemetry::error!(
+                "partition {}: the state digest of {} does not match; it is excluded from planned moves",
+                self.id,
+                ack.node
+            );
+        }
+        peer.mismatch = ack.mismatch;
+        if ack.gap {
+            peer.snapshot_position = 0;
+            // Its log may extend past the end of this one, with entries that were never committed.
+            peer.sent = ack.durable.min(end);
+            // It may have lost its disk, so earlier acknowledgements do not count.
+            peer.acked = peer.acked.min(ack.durable);
+            let behind = peer.sent + 1 < first;
+            if behind && now < peer.last_resent + self.timing.resend_ms {
                 return;
             }
-            self.send_to(&a.node, now, true, out);
+            self.send_to(&ack.node, now, true, out);
             return;
         }
-        if p.snapshot_position > 0 && a.durable >= p.snapshot_position {
-            p.snapshot_position = 0;
+        if peer.snapshot_position > 0 && ack.durable >= peer.snapshot_position {
+            peer.snapshot_position = 0;
         }
-        if a.durable > p.acked {
-            p.acked = a.durable.min(p.sent);
+        if ack.durable > peer.acked {
+            peer.acked = ack.durable.min(peer.sent);
         }
-        let acked = p.acked;
-        let wanted = self.replicas.contains(&a.node);
+        let acked = peer.acked;
+        let wanted = self.replicas.contains(&ack.node);
         if wanted
-            && !self.in_sync.contains(&a.node)
-            && !self.joining.contains_key(&a.node)
-            // Also what its owner found when it took over, and may have been committed.
+            && !self.in_sync.contains(&ack.node)
+            && !self.joining.contains_key(&ack.node)
+            // Includes entries found at takeover, which a former owner may have committed.
             && acked >= commit.max(takeover_end)
             && !refused
         {
-            self.joining.insert(a.node.clone(), now);
-            self.request_join(&a.node, out);
+            self.joining.insert(ack.node.clone(), now);
+            self.request_join(&ack.node, out);
         }
         self.advance_commit(now, out);
         self.flush(now, out);
