--- a/crates/partition/tests/operations.rs
+++ b/crates/partition/tests/operations.rs
@@ -1,10 +1,11 @@
-//! Operation keys in the fold: which accept repeats another, for how long, and for whom.
+//! Tests of operation keys and placements in the partition state: duplicate detection, retention, and
+//! separation of tenants.
 
 use partition::*;
 use rpc::messages::{Item, OperationId, OrderKey, Outcome, PlacementGenerations, PlacementSubject};
 
 const WINDOW: u64 = 4000;
-/// How long a message of an order key may be under way.
+/// How long a message of an order key may be in flight.
 const HOLD: u64 = 8000;
 const RETENTION: Retention = Retention { status_ms: 1000, operations_ms: WINDOW };
 
@@ -41,7 +42,7 @@
     })
 }
 
-fn with_route() -> PartitionState {
+fn state_with_route() -> PartitionState {
     let routes = vec![RouteFacts { route: "r-a".into(), tries: 1, retain_ms: 60_000 }];
     let mut state = PartitionState::new(RETENTION);
     state.apply(1, &record(1, Entry::Routes(Routes { revision: 1, routes, ..Routes::default() })));
@@ -49,8 +50,8 @@
 }
 
 #[test]
-fn a_repeat_inside_the_window_is_the_first_message_whatever_its_id() {
-    let mut state = with_route();
+fn a_request_with_a_known_operation_key_is_a_duplicate_whatever_its_id() {
+    let mut state = state_with_route();
     state.apply(2, &record(10, accept(item("m1", "clinic", operation(1)))));
     let again = state.apply(3, &record(20, accept(item("m2", "clinic", operation(1)))));
     assert_eq!(again, vec![Change::Duplicate { at: 3, original: 2 }]);
@@ -60,64 +61,71 @@
 }
 
 #[test]
-fn a_message_that_has_ended_well_or_not_is_known_by_its_key_until_the_window_is_over() {
+fn an_ended_message_is_found_by_its_operation_key_until_the_key_expires() {
     for outcome in [Outcome::Done, Outcome::Never] {
-        let mut state = with_route();
+        let mut state = state_with_route();
         state.apply(2, &record(10, accept(item("m1", "clinic", operation(1)))));
         state.apply(3, &record(20, answer(2, outcome)));
-        // What is said of its state alone is over long before that.
+        // The retention time of its state ends long before that.
         let last = 10 + WINDOW * 5 / 4;
         state.apply(4, &record(last, accept(item("other", "clinic", operation(2)))));
         assert_eq!(state.find_duplicate(&item("m2", "clinic", operation(1)), last), Some(2));
         state.apply(5, &record(last + 1, accept(item("m2", "clinic", operation(1)))));
-        assert_eq!(state.find_duplicate(&item("m3", "clinic", operation(1)), last + 2), Some(5), "a new one by then");
+        assert_eq!(
+            state.find_duplicate(&item("m3", "clinic", operation(1)), last + 2),
+            Some(5),
+            "it is a new message by then"
+        );
         assert_eq!(state.digest(), state.recompute_digest());
     }
 }
 
 #[test]
-fn a_message_that_outlives_its_key_does_not_answer_for_it() {
-    let mut state = with_route();
+fn a_message_that_outlives_its_operation_key_is_not_found_by_it() {
+    let mut state = state_with_route();
     state.apply(2, &record(10, accept(item("m1", "clinic", operation(1)))));
     let later = 11 + WINDOW * 5 / 4;
     assert_eq!(state.apply(3, &record(later, accept(item("m2", "clinic", operation(1))))), vec![Change::Accepted(3)]);
     state.apply(4, &record(later + 1, answer(2, Outcome::Done)));
     state.apply(5, &record(later + 2000, accept(item("m3", "clinic", operation(3)))));
-    assert!(!state.messages.contains_key(&2), "the first one is forgotten");
+    assert!(!state.messages.contains_key(&2), "the first message is removed");
     assert_eq!(
         state.find_duplicate(&item("m4", "clinic", operation(1)), later + 2000),
         Some(3),
-        "its successor is not"
+        "its successor is still found"
     );
 }
 
 #[test]
-fn keys_are_forgotten_with_their_messages_so_that_their_number_is_bounded() {
-    let mut state = with_route();
+fn operation_keys_are_removed_with_their_messages_so_that_their_number_is_bounded() {
+    let mut state = state_with_route();
     for n in 0..500u64 {
         let at = 10 + n * 100;
         state.apply(2 + 2 * n, &record(at, accept(item(&format!("m{n}"), "clinic", operation(n)))));
         state.apply(3 + 2 * n, &record(at + 1, answer(2 + 2 * n, Outcome::Done)));
         assert_eq!(state.operation_count(), state.messages.len());
-        assert!(state.messages.len() <= 52, "one window and a quarter of them");
+        assert!(state.messages.len() <= 52, "at most one retention window plus a quarter");
     }
     let without = PartitionState::new(RETENTION).memory_bytes();
-    assert!(state.memory_bytes() > without + state.messages.len() * 1024, "keys count in what a store may hold");
+    assert!(
+        state.memory_bytes() > without + state.messages.len() * 1024,
+        "operation keys count towards the store's memory use"
+    );
 }
 
 #[test]
-fn a_snapshot_carries_the_keys_and_says_the_same_of_every_repeat() {
-    let mut state = with_route();
+fn a_snapshot_preserves_operation_keys_and_duplicate_detection() {
+    let mut state = state_with_route();
     state.apply(2, &record(10, accept(item("m1", "clinic", operation(1)))));
     state.apply(3, &record(20, accept(item("m2", "shop", operation(2)))));
     state.apply(4, &record(30, answer(2, Outcome::Done)));
-    let mut restored = PartitionState::restore(&state.snapshot(), RETENTION).expect("a good snapshot");
+    let mut restored = PartitionState::restore(&state.snapshot(), RETENTION).expect("a valid snapshot");
     for low in [1, 2] {
         let again = item("m9", "clinic", operation(low));
         assert_eq!(restored.find_duplicate(&again, 40), state.find_duplicate(&again, 40));
         assert!(restored.find_duplicate(&again, 40).is_some());
     }
-    // Both forget at the same record.
+    // Both remove expired entries at the same record.
     let late = 31 + WINDOW * 5 / 4;
     for s in [&mut state, &mut restored] {
         s.apply(5, &record(late, accept(item("m3", "clinic", operation(3)))));
@@ -127,19 +135,19 @@
 }
 
 #[test]
-fn a_key_that_differs_shows_in_the_digest() {
-    let of = |operation| {
-        let mut state = with_route();
+fn the_digest_depends_on_the_operation_key() {
+    let digest_with = |operation| {
+        let mut state = state_with_route();
         state.apply(2, &record(10, accept(item("m1", "clinic", operation))));
         state.digest()
     };
-    assert_ne!(of(operation(1)), of(operation(2)));
-    assert_ne!(of(operation(1)), of(None));
+    assert_ne!(digest_with(operation(1)), digest_with(operation(2)));
+    assert_ne!(digest_with(operation(1)), digest_with(None));
 }
 
 #[test]
-fn tenants_do_not_meet_in_ids_and_order_keys() {
-    let mut state = with_route();
+fn ids_and_order_keys_are_scoped_by_tenant() {
+    let mut state = state_with_route();
     let ordered = |id: &str, tenant: &str| Item { order_key: "k".into(), ..item(id, tenant, None) };
     state.apply(2, &record(10, accept(ordered("m1", "clinic"))));
     assert_eq!(state.apply(3, &record(11, accept(ordered("m1", "shop")))), vec![Change::Accepted(3)]);
@@ -152,11 +160,11 @@
     state.apply(5, &record(13, accept(ordered("m2", "clinic"))));
     assert!(!state.is_head(5, &state.messages[&5]));
     assert_eq!(state.apply(6, &record(14, answer(2, Outcome::Done))), vec![Change::Ended(2), Change::Unblocked(5)]);
-    assert_eq!(state.find("clinic", "m1"), Some(2), "a settled one is found by its tenant");
+    assert_eq!(state.find("clinic", "m1"), Some(2), "a settled message is found by its tenant");
 }
 
 fn subject(low: u64) -> PlacementSubject {
-    PlacementSubject::Operation(operation(low).expect("one"))
+    PlacementSubject::Operation(operation(low).expect("an operation"))
 }
 
 fn place_from(subject: PlacementSubject, partition: u32, generation: u64) -> Entry {
@@ -173,8 +181,8 @@
 }
 
 #[test]
-fn the_first_record_that_places_an_operation_decides_where_it_is_kept() {
-    let mut state = with_route();
+fn the_first_record_that_places_an_operation_decides_its_partition() {
+    let mut state = state_with_route();
     let place_of = |changes: Vec<Change>| match changes[..] {
         [Change::PlacedElsewhere { placement, .. }] => (placement.partition, placement.generation),
         ref other => panic!("{other:?}"),
@@ -182,20 +190,20 @@
     assert_eq!(place_of(state.apply(2, &record(10, place(1, 5)))), (5, 1));
     assert_eq!(place_of(state.apply(3, &record(11, place(1, 6)))), (5, 1));
     assert_eq!(place_of(state.apply(4, &record(12, accept(item("m1", "clinic", operation(1)))))), (5, 1));
-    assert!(state.messages.is_empty(), "what is placed elsewhere is not kept here");
+    assert!(state.messages.is_empty(), "an operation placed elsewhere is not stored here");
     assert_eq!(state.apply(5, &record(13, accept(item("m2", "clinic", operation(2))))), vec![Change::Accepted(5)]);
     assert_eq!(state.apply(6, &record(14, place(2, 5))), vec![Change::Duplicate { at: 6, original: 5 }]);
     assert_eq!(state.digest(), state.recompute_digest());
 }
 
 #[test]
-fn a_chain_that_comes_back_ends_an_older_placement_and_no_newer_one() {
-    let mut state = with_route();
+fn an_accept_removes_an_older_placement_and_is_refused_by_a_newer_one() {
+    let mut state = state_with_route();
     state.apply(2, &record(10, place(1, 5)));
     let changes = state.apply(3, &record(11, place_from(subject(1), 6, 2)));
     assert!(matches!(changes[..], [Change::PlacedElsewhere { placement, .. }] if placement.generation == 3));
     let late = state.apply(4, &record(12, accept_from(item("m1", "clinic", operation(1)), 2, 0)));
-    assert!(matches!(late[..], [Change::PlacedElsewhere { .. }]), "the chain has gone on since: {late:?}");
+    assert!(matches!(late[..], [Change::PlacedElsewhere { .. }]), "the chain has been extended since: {late:?}");
     assert_eq!(
         state.apply(5, &record(13, accept_from(item("m1", "clinic", operation(1)), 3, 0))),
         vec![Change::Accepted(5)]
@@ -205,8 +213,8 @@
 }
 
 #[test]
-fn an_order_key_stays_while_its_messages_are_under_way_and_is_refused_once_it_is_placed_elsewhere() {
-    let mut state = with_route();
+fn an_order_key_with_messages_in_flight_is_not_placed_and_a_placed_one_is_refused() {
+    let mut state = state_with_route();
     let ordered = |id: &str| Item { order_key: "k".into(), ..item(id, "clinic", None) };
     let order = || PlacementSubject::Order(OrderKey { tenant: "clinic".into(), key: "k".into() });
     state.apply(2, &record(10, accept(ordered("m1"))));
@@ -220,43 +228,48 @@
     assert_eq!(
         state.apply(7, &record(15, accept(other))),
         vec![Change::Accepted(7)],
-        "another tenant's key is another"
+        "keys of different tenants are distinct"
+    );
+    assert_eq!(
+        state.apply(8, &record(16, accept_from(ordered("m4"), 0, 1))),
+        vec![Change::Accepted(8)],
+        "the key has returned"
     );
-    assert_eq!(state.apply(8, &record(16, accept_from(ordered("m4"), 0, 1))), vec![Change::Accepted(8)], "it is back");
     assert_eq!(state.digest(), state.recompute_digest());
 }
 
 #[test]
-fn a_placement_holds_for_a_window_and_a_quarter_after_it_was_last_asked_for() {
-    let mut state = with_route();
+fn a_placement_is_valid_for_a_window_and_a_quarter_after_the_last_request() {
+    let mut state = state_with_route();
     state.apply(2, &record(10, place(1, 5)));
     let asked = 10 + WINDOW;
     state.apply(3, &record(asked, place(1, 6)));
     let last = asked + WINDOW * 5 / 4;
-    let placement = state.placement_of(&subject(1), 0, last).expect("it holds");
+    let placement = state.placement_of(&subject(1), 0, last).expect("a valid placement");
     assert_eq!((placement.partition, placement.until_ms), (5, last));
     assert_eq!(state.placement_of(&subject(1), 0, last + 1), None);
     state.apply(4, &record(last + 1, accept(item("m1", "clinic", operation(1)))));
-    assert_eq!((state.placement_count(), state.operation_count()), (0, 1), "its number is bounded");
+    assert_eq!((state.placement_count(), state.operation_count()), (0, 1), "the number of placements is bounded");
     assert_eq!(state.digest(), state.recompute_digest());
 }
 
 #[test]
-fn a_placement_is_written_anew_once_a_tenth_of_its_time_has_passed() {
-    let mut state = with_route();
+fn a_placement_is_renewed_once_a_tenth_of_its_validity_has_passed() {
+    let mut state = state_with_route();
     state.apply(2, &record(10, place(1, 5)));
-    let placement = state.placement_of(&subject(1), 0, 10).expect("it holds");
+    let placement = state.placement_of(&subject(1), 0, 10).expect("a valid placement");
+    // An eighth of the window is a tenth of the validity, which is the window plus a quarter.
     assert!(!state.is_placement_due(&placement, &subject(1), 0, 10 + WINDOW / 8));
     assert!(state.is_placement_due(&placement, &subject(1), 0, 11 + WINDOW / 8));
 }
 
 #[test]
-fn a_snapshot_carries_the_placements() {
-    let mut state = with_route();
+fn a_snapshot_preserves_the_placements() {
+    let mut state = state_with_route();
     let order = PlacementSubject::Order(OrderKey { tenant: "clinic".into(), key: "k".into() });
     state.apply(2, &record(10, place(1, 5)));
     state.apply(3, &record(20, place_from(order.clone(), 6, 4)));
-    let mut restored = PartitionState::restore(&state.snapshot(), RETENTION).expect("a good snapshot");
+    let mut restored = PartitionState::restore(&state.snapshot(), RETENTION).expect("a valid snapshot");
     for subject in [subject(1), order] {
         assert_eq!(restored.placement_of(&subject, 0, 30), state.placement_of(&subject, 0, 30));
         assert!(restored.placement_of(&subject, 0, 30).is_some());
@@ -264,10 +277,10 @@
     let late = 11 + WINDOW * 5 / 4;
     for state in [&mut state, &mut restored] {
         state.apply(4, &record(late, place(3, 7)));
-        assert_eq!(state.placement_count(), 2, "the first one is forgotten");
+        assert_eq!(state.placement_count(), 2, "the first placement is removed");
     }
     assert_eq!(state.digest(), restored.digest());
-    let mut other = with_route();
+    let mut other = state_with_route();
     other.apply(2, &record(10, place(1, 5)));
-    assert_ne!(other.digest(), state.digest(), "a placement that is missing shows");
+    assert_ne!(other.digest(), state.digest(), "a missing placement changes the digest");
 }
