--- a/crates/control/src/assignment.rs
+++ b/crates/control/src/assignment.rs
@@ -143,7 +143,7 @@
 }
 
 /// New replicas for a partition when `gone` is to hold nothing any more.
-pub fn rehome(
+pub fn replace_replica(
     p: &Partition,
     gone: &str,
     all: &[Partition],
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -232,7 +232,7 @@
                 };
                 if let Some(gone) = gone
                     && enough
-                    && let Some(now) = rehome(p, gone, &partitions, &spare, replica_count, spread)
+                    && let Some(now) = replace_replica(p, gone, &partitions, &spare, replica_count, spread)
                 {
                     telemetry::change!("partition {} replicas {:?}", p.id, now.replicas);
                     words.push((format!("p{}", p.id), CommandPayload::Partition(PutPartition { was: p.clone(), now })));
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -1,6 +1,6 @@
 //! Orders of store machines on their partitions: granted by the majority's log.
 
-use crate::assignment::{StoreMachine, rehome};
+use crate::assignment::{StoreMachine, replace_replica};
 use crate::service::ControlService;
 use crate::state::*;
 use rpc::messages::*;
@@ -38,7 +38,7 @@
                 .filter(|machine| Some(&machine.zone) != zone.as_ref() || was.replicas.contains(&machine.name))
                 .collect();
             let all = &f.control_state.assignments.partitions;
-            match rehome(was, &o.node, all, &elsewhere, replica_count, self.spread()) {
+            match replace_replica(was, &o.node, all, &elsewhere, replica_count, self.spread()) {
                 Some(put) if put.replicas.len() == was.replicas.len() => {
                     telemetry::change!(
                         "partition {}: {} is not heard by its owner, replicas {:?}",
--- a/crates/control/tests/duties.rs
+++ b/crates/control/tests/duties.rs
@@ -189,7 +189,7 @@
     assert!(least >= 1 && most <= 2 && held.1 - held.0 <= 1, "{least} {most} {held:?}");
     let gone = live.remove(0);
     for p in all.clone().iter().filter(|p| p.replicas.contains(&gone.name)) {
-        let now = rehome(p, &gone.name, &all, &live, 3, Spread::default()).expect("a new home");
+        let now = replace_replica(p, &gone.name, &all, &live, 3, Spread::default()).expect("a new home");
         assert!(!now.replicas.contains(&gone.name) && now.replicas.len() == 3);
         assert!(p.in_sync.contains(&now.replicas[0]), "the move goes to one that follows already");
         all[p.id as usize] = now;
--- a/crates/control/tests/homes.rs
+++ b/crates/control/tests/homes.rs
@@ -65,7 +65,7 @@
             }
             let gone = live.remove(at % live.len());
             for n in 0..partitions.len() {
-                if let Some(now) = rehome(&partitions[n], &gone.name, &partitions, &live, REPLICA_COUNT, SPREAD) {
+                if let Some(now) = replace_replica(&partitions[n], &gone.name, &partitions, &live, REPLICA_COUNT, SPREAD) {
                     partitions[n] = now;
                 }
             }
