--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -361,10 +361,10 @@
             let linger = timeout as u64 + self.settings.constraints.revert_slack_ms as u64;
             for r in f.control_state.assignments.rollouts.iter().filter(|r| r.state == "running") {
                 let p = f.rollout_monitors.entry(r.service.clone()).or_default();
-                p.judges(r.began);
+                p.track_rollout(r.began);
                 let mut now = r.clone();
                 now.spent = now.spent.max(p.sent_new);
-                match p.advise(r, wall, linger, self.settings.constraints.revert_slack_ms / 10.0) {
+                match p.decide(r, wall, linger, self.settings.constraints.revert_slack_ms / 10.0) {
                     RolloutDecision::Wait => continue,
                     RolloutDecision::Share(s) => now.share = s,
                     RolloutDecision::Settle => now.state = "settled".into(),
--- a/crates/control/src/rollout.rs
+++ b/crates/control/src/rollout.rs
@@ -57,7 +57,7 @@
 impl RolloutMonitor {
     /// Says which roll-out is judged: what was seen of an earlier one says nothing.
     /// Samples that come before the first call are of the one that is named then.
-    pub fn judges(&mut self, began: u64) {
+    pub fn track_rollout(&mut self, began: u64) {
         if self.began != 0 && self.began != began {
             *self = RolloutMonitor::default();
         }
@@ -101,7 +101,7 @@
         None
     }
 
-    pub fn advise(&mut self, r: &Rollout, now_ms: u64, linger_ms: u64, least_ms: f64) -> RolloutDecision {
+    pub fn decide(&mut self, r: &Rollout, now_ms: u64, linger_ms: u64, least_ms: f64) -> RolloutDecision {
         if let Some(why) = self.fault(least_ms) {
             return RolloutDecision::Revert(why);
         }
--- a/crates/control/tests/duties.rs
+++ b/crates/control/tests/duties.rs
@@ -220,17 +220,17 @@
     let mut p = RolloutMonitor::default();
     p.add("v2", &sample("v1", "r", 200, 4, 50.0));
     p.add("v2", &sample("v2", "r", 20, 1, 70.0));
-    assert_eq!(p.advise(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait);
+    assert_eq!(p.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait);
     p.add("v2", &sample("v2", "r", 3, 5, 70.0));
-    assert!(matches!(p.advise(&rollout(60), 1000, 500, 25.0), RolloutDecision::Revert(_)));
+    assert!(matches!(p.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Revert(_)));
     let mut quick = RolloutMonitor::default();
     quick.add("v2", &sample("v1", "r", 200, 0, 1.0));
     quick.add("v2", &sample("v2", "r", 20, 0, 3.0));
-    assert_eq!(quick.advise(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait, "the way there takes that long");
+    assert_eq!(quick.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait, "the way there takes that long");
     let mut slow = RolloutMonitor::default();
     slow.add("v2", &sample("v1", "r", 200, 0, 50.0));
     slow.add("v2", &sample("v2", "r", 12, 0, 300.0));
-    assert!(matches!(slow.advise(&rollout(60), 1000, 500, 25.0), RolloutDecision::Revert(_)));
+    assert!(matches!(slow.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Revert(_)));
 }
 
 #[test]
@@ -240,9 +240,9 @@
         p.add("v2", &sample("v1", c, 200, 2, 50.0));
         p.add("v2", &sample("v2", c, 40, 0, 50.0));
     }
-    assert_eq!(p.advise(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait);
+    assert_eq!(p.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait);
     p.add("v2", &sample("v2", "r4", 3, 5, 50.0));
-    assert!(matches!(p.advise(&rollout(60), 1000, 500, 25.0), RolloutDecision::Revert(_)));
+    assert!(matches!(p.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Revert(_)));
 }
 
 #[test]
@@ -252,7 +252,7 @@
     for t in (0..10_000).step_by(100) {
         p.add("v2", &sample("v1", "r", 10, 0, 50.0));
         p.add("v2", &sample("v2", "r", (r.share / 100 + 1).min(10), 0, 55.0));
-        match p.advise(&r, t, 500, 25.0) {
+        match p.decide(&r, t, 500, 25.0) {
             RolloutDecision::Share(s) => {
                 assert!(s > r.share && t >= 4000, "exposure stays small at first");
                 r.share = s;
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -136,14 +136,14 @@
     let mut p = RolloutMonitor::default();
     p.add("v2", &sample("v1", 200, 0));
     p.add("v2", &sample("v2", 2, 8));
-    p.judges(5);
-    p.judges(5);
+    p.track_rollout(5);
+    p.track_rollout(5);
     assert!(
-        matches!(p.advise(&r, 1000, 500, 25.0), RolloutDecision::Revert(_)),
+        matches!(p.decide(&r, 1000, 500, 25.0), RolloutDecision::Revert(_)),
         "an order that was refused hides nothing"
     );
-    p.judges(9);
-    assert_eq!(p.advise(&r, 1000, 500, 25.0), RolloutDecision::Wait);
+    p.track_rollout(9);
+    assert_eq!(p.decide(&r, 1000, 500, 25.0), RolloutDecision::Wait);
 }
 
 #[test]
