--- a/crates/control/src/copies.rs
+++ b/crates/control/src/copies.rs
@@ -17,7 +17,7 @@
 pub(crate) const DISK_SILENT: u32 = 2;
 
 /// The state of store nodes at one moment, as far as their copies go.
-pub(crate) struct CopyJudge<'a> {
+pub(crate) struct CopyAssessor<'a> {
     shared: &'a ControlShared,
     /// The leader's clock, in milliseconds.
     now: u64,
@@ -42,8 +42,13 @@
 
 impl ControlService {
     /// The state of store nodes as it is now.
-    pub(crate) fn copy_judge<'a>(&self, shared: &'a ControlShared, now: u64, retiring: &'a [String]) -> CopyJudge<'a> {
-        CopyJudge {
+    pub(crate) fn copy_assessor<'a>(
+        &self,
+        shared: &'a ControlShared,
+        now: u64,
+        retiring: &'a [String],
+    ) -> CopyAssessor<'a> {
+        CopyAssessor {
             shared,
             now,
             lease_ms: self.settings.lease_ms(),
@@ -54,7 +59,7 @@
     }
 }
 
-impl CopyJudge<'_> {
+impl CopyAssessor<'_> {
     fn lease(&self, node: &str) -> Option<&Leased> {
         self.shared.leases.get(node)
     }
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -178,7 +178,7 @@
             let well = f.with_sound_disks(&spare);
             for p in &partitions {
                 let incarnation = |n: &str| f.leases.get(n).map(|l| l.incarnation);
-                let judge = self.copy_judge(f, now, &retiring);
+                let judge = self.copy_assessor(f, now, &retiring);
                 let mut put = seize(p, |n| judge.health(p, n), incarnation);
                 let revived = || {
                     let is_told = |n: &str| f.leases.contains_key(n);
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -65,7 +65,7 @@
         let fit = self.with(|f| {
             let is_current = f.leases.get(&o.node).is_some_and(|l| l.incarnation == o.incarnation);
             let retiring = Self::retiring(f);
-            is_current && self.copy_judge(f, self.now(), &retiring).may_join(&was, &o.node)
+            is_current && self.copy_assessor(f, self.now(), &retiring).may_join(&was, &o.node)
         });
         if o.kind == OrderKind::Join as i32 && o.seen != was.changed {
             // Asked before the last word on this partition: with that, it may ask anew.
