--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -84,7 +84,7 @@
     }
 
     /// Those of them that may be given partitions.
-    pub(crate) fn spare_machines(&self, f: &ControlShared, now: u64) -> Vec<StoreMachine> {
+    pub(crate) fn available_machines(&self, f: &ControlShared, now: u64) -> Vec<StoreMachine> {
         let retiring = Self::retiring(f);
         self.live_machines(f, now).into_iter().filter(|machine| !retiring.contains(&machine.name)).collect()
     }
@@ -155,7 +155,7 @@
                 .filter(|s| s.node.role == "store" && s.node.leaving)
                 .map(|s| s.node.name.clone())
                 .collect();
-            let spare = self.spare_machines(f, now);
+            let spare = self.available_machines(f, now);
             // Who is to be no home any more: retiring nodes, and nodes that are away for
             // twice the settling time, or a quarter of it where another one is there to
             // take its place, as after a machine was replaced by one at another address.
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -32,7 +32,7 @@
         let replica_count = self.settings.tolerance.machines as usize + 1;
         self.with(|f| {
             let zone = f.sessions.get(&o.node).map(|session| session.node.zone.clone());
-            let elsewhere: Vec<StoreMachine> = self.spare_machines(f, now);
+            let elsewhere: Vec<StoreMachine> = self.available_machines(f, now);
             let elsewhere: Vec<StoreMachine> = elsewhere
                 .into_iter()
                 .filter(|machine| Some(&machine.zone) != zone.as_ref() || was.replicas.contains(&machine.name))
