--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -104,7 +104,7 @@
         let lease = self.settings.lease_ms();
         let mut words: Vec<(String, CommandPayload)> = Vec::new();
         self.with(|f| {
-            self.tend_clock(f, now);
+            self.update_cluster_clock(f, now);
             f.note_returning_zones(now);
             // Sessions that ended.
             let limit = self.ratio(3.0);
@@ -484,7 +484,7 @@
 
     /// Keeps the cluster's time. A leader that nobody told what time is carried on starts
     /// it from the logs, once those who may carry it had the time to say so.
-    pub(crate) fn tend_clock(&self, f: &mut ControlShared, now: u64) {
+    pub(crate) fn update_cluster_clock(&self, f: &mut ControlShared, now: u64) {
         f.cluster_clock.hear(&self.settings.node, telemetry::wall_ms(), now);
         let quorum = Self::clock_quorum(f);
         if now > f.leader_since + self.ratio(16.0) {
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -93,7 +93,7 @@
             f.cluster_clock.hear_carried(l.time_ms, now);
             f.cluster_clock.hear_reached(l.reached_ms);
             if f.cluster_clock.time(now).is_none() {
-                self.tend_clock(f, now);
+                self.update_cluster_clock(f, now);
             }
             let newer_incarnation = f.later_incarnation(&l.node);
             if newer_incarnation > 0 {
