--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -95,7 +95,7 @@
         Spread { zones: tolerance.zones as usize, regions: tolerance.regions as usize }
     }
 
-    pub(crate) async fn assign(self: &Arc<Self>) {
+    pub(crate) async fn assign_partitions(self: &Arc<Self>) {
         if self.assigning.swap(true, Ordering::Relaxed) {
             return;
         }
@@ -345,7 +345,7 @@
         Some(Layout { partitions })
     }
 
-    pub(crate) async fn judge(&self) {
+    pub(crate) async fn evaluate_rollouts(&self) {
         // The leader's own clock may step in the middle of a trial.
         let Some(wall) = self.time() else { return };
         if self.with(|f| f.control_state.assignments.rollouts.iter().all(|r| r.state != "running")) {
@@ -389,7 +389,7 @@
         }
     }
 
-    pub(crate) async fn list(&self, settings_updates: watch::Receiver<Settings>) {
+    pub(crate) async fn list_processors(&self, settings_updates: watch::Receiver<Settings>) {
         #[derive(serde::Deserialize)]
         #[serde(rename_all = "camelCase", default)]
         #[derive(Default)]
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -419,7 +419,7 @@
         tokio::spawn(control.clone().list_workers(settings_updates.clone()));
     }
     let s = control.clone();
-    tokio::spawn(async move { s.list(settings_updates).await });
+    tokio::spawn(async move { s.list_processors(settings_updates).await });
     tokio::spawn(turn(control.clone(), raft, wal, rx));
     tokio::spawn(control.clone().watch_for_pauses());
     let s = control.clone();
@@ -437,9 +437,9 @@
             }
             rounds += 1;
             if s.holds_leadership() {
-                s.assign().await;
+                s.assign_partitions().await;
                 if rounds.is_multiple_of(3) {
-                    s.judge().await;
+                    s.evaluate_rollouts().await;
                 }
             }
             if rounds.is_multiple_of(300) {
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -77,7 +77,7 @@
             });
             if known {
                 telemetry::change!("the process of store node {name} has ended");
-                self.assign().await;
+                self.assign_partitions().await;
             }
         }
     }
