--- a/crates/control/src/cold.rs
+++ b/crates/control/src/cold.rs
@@ -69,7 +69,7 @@
         let stands = |node: &&Node| {
             node.role == asker.role
                 && !node.leaving
-                && (node.role != "store" || ControlService::alive(f, now, lease, &node.name))
+                && (node.role != "store" || ControlService::is_alive(f, now, lease, &node.name))
         };
         let region = self.settings.zones.get(&processor.zone);
         let nodes = f.sessions.values().map(|session| &session.node).filter(stands);
--- a/crates/control/src/copies.rs
+++ b/crates/control/src/copies.rs
@@ -72,7 +72,7 @@
     fn holds(&self, p: &Partition, node: &str) -> bool {
         // An emptied disk holds what it was filled with since then only.
         let is_whole = self.lease(node).is_none_or(|lease| p.joined_incarnation(node) >= lease.born);
-        is_whole && ControlService::session_stands(self.shared, self.now, self.lease_ms, node)
+        is_whole && ControlService::is_session_live(self.shared, self.now, self.lease_ms, node)
     }
 
     /// Whether a node's disk holds up the others. A slow one does not hold up an owner whose own
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -45,7 +45,7 @@
 
 impl ControlService {
     /// Whether a store node's process runs and is in touch.
-    pub(crate) fn session_stands(f: &ControlShared, now: u64, lease: u64, name: &str) -> bool {
+    pub(crate) fn is_session_live(f: &ControlShared, now: u64, lease: u64, name: &str) -> bool {
         // A lease runs from when the node sent its request; a quarter is added
         // for what clocks and queues may differ.
         let grace = f.leader_since + lease * 2;
@@ -56,9 +56,9 @@
     }
 
     /// Whether its disk answers besides.
-    pub(crate) fn alive(f: &ControlShared, now: u64, lease: u64, name: &str) -> bool {
+    pub(crate) fn is_alive(f: &ControlShared, now: u64, lease: u64, name: &str) -> bool {
         let answers = f.leases.get(name).is_none_or(|l| l.lag < DISK_SILENT);
-        answers && Self::session_stands(f, now, lease, name)
+        answers && Self::is_session_live(f, now, lease, name)
     }
 
     /// Store machines that are to hold nothing: those being emptied, and those that
@@ -73,7 +73,7 @@
     /// The store machines that stand and are not leaving.
     fn live_machines(&self, f: &ControlShared, now: u64) -> Vec<StoreMachine> {
         let lease = self.settings.lease_ms();
-        let stands = |node: &&Node| node.role == "store" && !node.leaving && Self::alive(f, now, lease, &node.name);
+        let stands = |node: &&Node| node.role == "store" && !node.leaving && Self::is_alive(f, now, lease, &node.name);
         let nodes = f.sessions.values().map(|session| &session.node).filter(stands);
         let machine = |node: &Node| StoreMachine {
             name: node.name.clone(),
@@ -186,7 +186,7 @@
                     revive(p, health, incarnation)
                 };
                 let claimed = f.leases.iter().any(|(n, l)| {
-                    Self::alive(f, now, lease, n) && l.claims.iter().any(|c| c.partition == p.id && c.term >= p.term)
+                    Self::is_alive(f, now, lease, n) && l.claims.iter().any(|c| c.partition == p.id && c.term >= p.term)
                 });
                 let unclaimed_since = f.unclaimed.get(&p.id).copied().unwrap_or(now);
                 let is_left = !claimed && now > unclaimed_since + 3 * lease && put.is_none();
@@ -291,7 +291,7 @@
         let lease = self.settings.lease_ms();
         for p in partitions {
             let claims_it = |l: &Leased| l.claims.iter().any(|c| c.partition == p.id && c.term >= p.term);
-            let is_claimed = f.leases.iter().any(|(n, l)| Self::alive(f, now, lease, n) && claims_it(l));
+            let is_claimed = f.leases.iter().any(|(n, l)| Self::is_alive(f, now, lease, n) && claims_it(l));
             f.ownership_watch.note(p.id, is_claimed, now);
         }
         telemetry::set("partition_unowned_ms", f.ownership_watch.longest_ms(now));
@@ -302,7 +302,7 @@
         let unowned = f.ownership_watch.unowned_for(bound, now);
         let first = unowned.first().and_then(|id| partitions.iter().find(|p| p.id == *id));
         let state_of = |node: &String| {
-            let stands = Self::session_stands(f, now, lease, node);
+            let stands = Self::is_session_live(f, now, lease, node);
             let born = f.leases.get(node).map_or(0, |l| l.born);
             let is_emptied = first.is_some_and(|p| p.joined_incarnation(node) < born);
             let lag = f.leases.get(node).map_or(0, |l| l.lag);
