--- a/crates/control/src/copies.rs
+++ b/crates/control/src/copies.rs
@@ -12,9 +12,9 @@
 use rpc::messages::Partition;
 
 /// What a store node tells of its disk with its lease.
-pub(crate) const DISK_WELL: u32 = 0;
+pub(crate) const DISK_HEALTHY: u32 = 0;
 /// Its disk does not answer at all.
-pub(crate) const DISK_SILENT: u32 = 2;
+pub(crate) const DISK_UNRESPONSIVE: u32 = 2;
 
 /// The state of store nodes at one moment, as far as their copies go.
 pub(crate) struct CopyAssessor<'a> {
@@ -34,8 +34,8 @@
 
 impl ControlShared {
     /// Those of the machines whose disks keep up.
-    pub(crate) fn with_sound_disks(&self, machines: &[StoreMachine]) -> Vec<StoreMachine> {
-        let keeps_up = |machine: &&StoreMachine| self.leases.get(&machine.name).is_none_or(|l| l.lag == DISK_WELL);
+    pub(crate) fn with_healthy_disks(&self, machines: &[StoreMachine]) -> Vec<StoreMachine> {
+        let keeps_up = |machine: &&StoreMachine| self.leases.get(&machine.name).is_none_or(|l| l.lag == DISK_HEALTHY);
         machines.iter().filter(keeps_up).cloned().collect()
     }
 }
@@ -65,7 +65,7 @@
     }
 
     fn lag(&self, node: &str) -> u32 {
-        self.lease(node).map_or(DISK_WELL, |lease| lease.lag)
+        self.lease(node).map_or(DISK_HEALTHY, |lease| lease.lag)
     }
 
     /// Whether a node's session stands, and its disk holds what was in sync.
@@ -80,15 +80,15 @@
     fn is_hindrance(&self, p: &Partition, node: &str) -> bool {
         let is_candidate = p.grant.as_ref().is_some_and(|grant| grant.candidate == node);
         match self.lag(node) {
-            DISK_WELL => false,
-            DISK_SILENT => true,
-            _ => node != p.owner && !is_candidate && self.lag(&p.owner) == DISK_WELL,
+            DISK_HEALTHY => false,
+            DISK_UNRESPONSIVE => true,
+            _ => node != p.owner && !is_candidate && self.lag(&p.owner) == DISK_HEALTHY,
         }
     }
 
     /// Whether the copy of a node that hinders the others may be given up.
     fn is_dispensable(&self, p: &Partition, node: &str) -> bool {
-        let is_sound = |n: &&String| **n != node && self.holds(p, n) && self.lag(n) == DISK_WELL;
+        let is_sound = |n: &&String| **n != node && self.holds(p, n) && self.lag(n) == DISK_HEALTHY;
         if p.in_sync.iter().filter(is_sound).count() >= copies_of(p, self.replica_count) {
             return true;
         }
@@ -108,8 +108,8 @@
     /// too few others.
     pub(crate) fn may_join(&self, p: &Partition, node: &str) -> bool {
         match self.lag(node) {
-            DISK_WELL => true,
-            DISK_SILENT => false,
+            DISK_HEALTHY => true,
+            DISK_UNRESPONSIVE => false,
             _ => !self.is_dispensable(p, node),
         }
     }
@@ -120,7 +120,7 @@
             return CopyHealth::Gone;
         }
         match self.lag(node) {
-            DISK_SILENT => CopyHealth::Impaired,
+            DISK_UNRESPONSIVE => CopyHealth::Impaired,
             _ => CopyHealth::Sound,
         }
     }
@@ -128,7 +128,7 @@
     /// The partition with another machine, of those whose disks do well, in the place of a replica
     /// whose disk does not keep up.
     /// That one stays in sync until the other one is. One at a time for each partition.
-    pub(crate) fn replaced(
+    pub(crate) fn replace_slow_replica(
         &self,
         p: &Partition,
         all: &[Partition],
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -2,7 +2,7 @@
 //! and the platform's list of processors.
 
 use crate::assignment::*;
-use crate::copies::DISK_SILENT;
+use crate::copies::DISK_UNRESPONSIVE;
 use crate::evacuation::ColdKnown;
 use crate::rollout::RolloutDecision;
 use crate::service::*;
@@ -57,7 +57,7 @@
 
     /// Whether its disk answers besides.
     pub(crate) fn is_alive(f: &ControlShared, now: u64, lease: u64, name: &str) -> bool {
-        let answers = f.leases.get(name).is_none_or(|l| l.lag < DISK_SILENT);
+        let answers = f.leases.get(name).is_none_or(|l| l.lag < DISK_UNRESPONSIVE);
         answers && Self::is_session_live(f, now, lease, name)
     }
 
@@ -175,7 +175,7 @@
             });
             let gone: HashSet<&str> = replicas.into_iter().collect();
             self.check_ownership(f, &partitions, now);
-            let well = f.with_sound_disks(&spare);
+            let well = f.with_healthy_disks(&spare);
             for p in &partitions {
                 let incarnation = |n: &str| f.leases.get(n).map(|l| l.incarnation);
                 let judge = self.copy_assessor(f, now, &retiring);
@@ -194,7 +194,7 @@
                     put = revived();
                 }
                 if put.is_none() {
-                    put = judge.replaced(p, &partitions, &well, spread);
+                    put = judge.replace_slow_replica(p, &partitions, &well, spread);
                 }
                 if claimed || is_left {
                     f.unclaimed.remove(&p.id);
