--- a/crates/control/src/scaler.rs
+++ b/crates/control/src/scaler.rs
@@ -1,6 +1,6 @@
 //! The scaler's calls to the platform.
 
-use crate::instance_launcher::InstanceHost;
+use crate::instance_launcher::Worker;
 use crate::service::{ControlService, ControlShared};
 use config::Settings;
 use http1::{Call, ConnectionPool};
@@ -66,9 +66,9 @@
             match page {
                 Some(p) => {
                     let (carriers, all) = (p.carriers.len(), p.carriers.into_iter());
-                    let workers: Vec<InstanceHost> = all
+                    let workers: Vec<Worker> = all
                         .filter(|c| !c.name.is_empty() && c.headroom_mb.is_finite() && c.headroom_mb >= 0.0)
-                        .map(|c| InstanceHost {
+                        .map(|c| Worker {
                             ready: c.state == "ready",
                             name: c.name,
                             zone: c.zone,
@@ -77,7 +77,7 @@
                         .collect();
                     telemetry::add("platform_items_refused", (carriers - workers.len()) as u64);
                     let now = self.now();
-                    self.with(|f| f.launcher.listed(workers, now));
+                    self.with(|f| f.launcher.update_workers(workers, now));
                     tokio::time::sleep(period).await;
                 }
                 None => {
@@ -125,9 +125,9 @@
                 let evacuated = f.control_state.assignments.evacuated_zones(f.membership.version);
                 let is_allowed =
                     |zone: &str| !evacuated.contains(zone) && (s.zones.is_empty() || s.zones.iter().any(|z| z == zone));
-                (f.launcher.choose(memory, &s.zone, is_allowed, now), f.term(), f.launcher.known())
+                (f.launcher.choose_worker(memory, &s.zone, is_allowed, now), f.term(), f.launcher.has_workers())
             });
-            let Some(InstanceHost { name: worker, zone, .. }) = host else {
+            let Some(Worker { name: worker, zone, .. }) = host else {
                 // Not asked yet is not full.
                 ack.full = known;
                 if known {
@@ -156,7 +156,7 @@
                 Some((409, _)) => {
                     telemetry::count("starts_refused");
                     let now = self.now();
-                    self.with(|f| f.launcher.refused(&worker, now));
+                    self.with(|f| f.launcher.exclude(&worker, now));
                 }
                 Some((400, _)) => {
                     ack.full = true;
@@ -193,7 +193,7 @@
     ) -> Option<(u16, bytes::Bytes)> {
         loop {
             let now = self.now();
-            match self.with(|f| f.launcher.token(now)) {
+            match self.with(|f| f.launcher.take_token(now)) {
                 Ok(()) => break,
                 Err(_) if Instant::now() > end => return None,
                 Err(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
