--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -292,7 +292,7 @@
         for p in partitions {
             let claims_it = |l: &Leased| l.claims.iter().any(|c| c.partition == p.id && c.term >= p.term);
             let is_claimed = f.leases.iter().any(|(n, l)| Self::is_alive(f, now, lease, n) && claims_it(l));
-            f.ownership_watch.note(p.id, is_claimed, now);
+            f.ownership_watch.record(p.id, is_claimed, now);
         }
         telemetry::set("partition_unowned_ms", f.ownership_watch.longest_ms(now));
         if !f.ownership_watch.is_alarm_due() {
--- a/crates/control/src/ownership_watch.rs
+++ b/crates/control/src/ownership_watch.rs
@@ -17,7 +17,7 @@
 
 impl OwnershipWatch {
     /// Notes whether a node claims a partition at a time in milliseconds.
-    pub fn note(&mut self, partition: u32, is_claimed: bool, now: u64) {
+    pub fn record(&mut self, partition: u32, is_claimed: bool, now: u64) {
         if is_claimed {
             self.since.remove(&partition);
         } else {
--- a/crates/control/tests/duties.rs
+++ b/crates/control/tests/duties.rs
@@ -57,12 +57,12 @@
 fn the_time_without_an_owner_is_counted_until_somebody_claims_the_partition() {
     let mut watch = OwnershipWatch::default();
     for now in [1000, 1500, 2000] {
-        watch.note(1, false, now);
-        watch.note(2, now < 2000, now);
+        watch.record(1, false, now);
+        watch.record(2, now < 2000, now);
     }
     assert_eq!((watch.unowned_ms(1, 3000), watch.unowned_ms(2, 3000), watch.unowned_ms(3, 3000)), (2000, 1000, 0));
     assert_eq!((watch.unowned_for(1000, 3000), watch.longest_ms(3000)), (vec![1], 2000));
-    watch.note(1, true, 3000);
+    watch.record(1, true, 3000);
     assert_eq!((watch.unowned_ms(1, 4000), watch.unowned_for(1000, 4000)), (0, vec![2]));
 }
 
