--- a/crates/control/src/assignment.rs
+++ b/crates/control/src/assignment.rs
@@ -114,7 +114,7 @@
 }
 
 /// The store machines that may hold a partition.
-pub fn fitting<'a>(p: &'a Partition, live: &'a [StoreMachine]) -> impl Iterator<Item = &'a StoreMachine> {
+pub fn eligible_machines<'a>(p: &'a Partition, live: &'a [StoreMachine]) -> impl Iterator<Item = &'a StoreMachine> {
     live.iter().filter(|node| p.home.is_empty() || node.region == p.home)
 }
 
@@ -136,7 +136,7 @@
 ) -> Option<String> {
     let held: Vec<&StoreMachine> = p.replicas.iter().filter_map(|h| live.iter().find(|n| n.name == *h)).collect();
     let spread = if p.home.is_empty() { spread } else { Spread { regions: 0, ..spread } };
-    fitting(p, live)
+    eligible_machines(p, live)
         .filter(|n| !p.replicas.contains(&n.name))
         .min_by_key(|n| (fit(n, &held, replica_count, spread), load(all, &n.name)))
         .map(|n| n.name.clone())
--- a/crates/control/src/copies.rs
+++ b/crates/control/src/copies.rs
@@ -6,7 +6,7 @@
 //! in its place. A disk that is slow for a moment, as any disk may be, leaves no message with
 //! fewer copies than the settings ask for.
 
-use crate::assignment::{Spread, StoreMachine, fitting, replace_replica};
+use crate::assignment::{Spread, StoreMachine, eligible_machines, replace_replica};
 use crate::service::{ControlService, ControlShared, Leased};
 use crate::state::{CopyHealth, copies_of};
 use rpc::messages::Partition;
@@ -142,7 +142,7 @@
         if !is_settled {
             return None;
         }
-        fitting(p, well).find(|machine| !p.replicas.contains(&machine.name))?;
+        eligible_machines(p, well).find(|machine| !p.replicas.contains(&machine.name))?;
         let put = replace_replica(p, impaired, all, well, self.replica_count, spread)?;
         telemetry::count("copies_moved_from_slow_disks");
         telemetry::change!("partition {}: the disk of {impaired} does not keep up, replicas {:?}", p.id, put.replicas);
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -223,7 +223,7 @@
                     continue;
                 }
                 let gone = p.replicas.iter().find(|h| gone.contains(h.as_str()));
-                let stay = fitting(p, &spare).filter(|n| gone.is_none_or(|gone| n.name != *gone)).count();
+                let stay = eligible_machines(p, &spare).filter(|n| gone.is_none_or(|gone| n.name != *gone)).count();
                 // A region has what store machines it has: one that is retired leaves fewer.
                 let is_retired = || gone.is_some_and(|gone| retiring.contains(gone));
                 let enough = match p.home.is_empty() {
--- a/crates/control/tests/homes.rs
+++ b/crates/control/tests/homes.rs
@@ -72,7 +72,7 @@
         }
         for p in partitions.iter().filter(|p| !p.home.is_empty()) {
             prop_assert!(p.replicas.iter().all(|r| region_of(&all, r) == p.home), "{:?}", p);
-            let there = fitting(p, &live).count();
+            let there = eligible_machines(p, &live).count();
             prop_assert_eq!(p.replicas.len(), REPLICA_COUNT.min(there), "{:?}", p);
         }
         for p in partitions.iter().filter(|p| p.home.is_empty()) {
