--- a/crates/control/src/scaler.rs
+++ b/crates/control/src/scaler.rs
@@ -1,4 +1,4 @@
-//! The scaler's calls to the platform.
+//! The scaler: lists workers, and starts and stops processors through the platform's API.
 
 use crate::instance_launcher::Worker;
 use crate::service::{ControlService, ControlShared};
@@ -11,33 +11,34 @@
 use tokio::sync::watch;
 
 impl ControlShared {
-    /// Which front is to know which processors, as of the last listing and membership.
-    fn share_processors(&mut self) {
-        let of = (self.membership.version, self.listed_at());
-        if (self.shares.0, self.shares.1) == of {
+    /// Divides the processors among the fronts that own their slots, if the listing or the
+    /// membership has changed since.
+    fn update_shares(&mut self) {
+        let version = (self.membership.version, self.listed_at());
+        if (self.shares.0, self.shares.1) == version {
             return;
         }
         let fronts = rpc::fronts(&self.membership);
         let mut all: HashMap<String, Processors> = HashMap::new();
         for u in self.processors() {
-            let Some(k) = rpc::slot_owner(&fronts, &u.service) else { continue };
+            let Some(owner) = rpc::slot_owner(&fronts, &u.service) else { continue };
             let share =
-                all.entry(k.1.clone()).or_insert_with(|| Processors { known: true, processors: vec![], digest: 1 });
-            let h = (share.digest ^ rpc::fingerprint(u.id.as_bytes())).wrapping_mul(0x9e3779b97f4a7c15);
-            share.digest = h ^ u64::from(u.draining);
+                all.entry(owner.1.clone()).or_insert_with(|| Processors { known: true, processors: vec![], digest: 1 });
+            let digest = (share.digest ^ rpc::fingerprint(u.id.as_bytes())).wrapping_mul(0x9e3779b97f4a7c15);
+            share.digest = digest ^ u64::from(u.draining);
             share.processors.push(u.clone());
         }
-        self.shares = (of.0, of.1, all);
+        self.shares = (version.0, version.1, all);
     }
 }
 
 impl ControlService {
-    /// Keeps the list of workers while this control node leads.
+    /// Keeps the list of workers up to date while this control node leads.
     pub(crate) async fn list_workers(self: Arc<Self>, settings_updates: watch::Receiver<Settings>) {
         #[derive(serde::Deserialize)]
         #[serde(rename_all = "camelCase", default)]
         #[derive(Default)]
-        struct Carrier {
+        struct ListedWorker {
             name: String,
             zone: String,
             headroom_mb: f64,
@@ -45,7 +46,8 @@
         }
         #[derive(serde::Deserialize)]
         struct Page {
-            carriers: Vec<Carrier>,
+            #[serde(rename = "carriers")]
+            workers: Vec<ListedWorker>,
         }
         let period = Duration::from_millis((self.settings.constraints.converge_ms / 4.0) as u64);
         let pool = ConnectionPool::new(period * 4);
@@ -65,7 +67,7 @@
             };
             match page {
                 Some(p) => {
-                    let (carriers, all) = (p.carriers.len(), p.carriers.into_iter());
+                    let (listed, all) = (p.workers.len(), p.workers.into_iter());
                     let workers: Vec<Worker> = all
                         .filter(|c| !c.name.is_empty() && c.headroom_mb.is_finite() && c.headroom_mb >= 0.0)
                         .map(|c| Worker {
@@ -75,9 +77,9 @@
                             headroom_mb: c.headroom_mb,
                         })
                         .collect();
-                    telemetry::add("platform_items_refused", (carriers - workers.len()) as u64);
+                    telemetry::add("platform_items_refused", (listed - workers.len()) as u64);
                     let now = self.now();
-                    self.with(|f| f.launcher.update_workers(workers, now));
+                    self.with(|shared| shared.launcher.update_workers(workers, now));
                     tokio::time::sleep(period).await;
                 }
                 None => {
@@ -88,15 +90,15 @@
         }
     }
 
-    /// The processors of the functions that a front keeps, as the platform lists them.
+    /// The processors of the functions whose slots a front owns, as the platform lists them.
     pub(crate) fn processors_of(&self, a: &ProcessorsRequest) -> Processors {
         let now = self.now();
-        self.with(|f| {
-            if !f.tells_processors(now) {
+        self.with(|shared| {
+            if !shared.tells_processors(now) {
                 return Processors::default();
             }
-            f.share_processors();
-            match f.shares.2.get(&a.front) {
+            shared.update_shares();
+            match shared.shares.2.get(&a.front) {
                 Some(u) if u.digest == a.digest => Processors { processors: Vec::new(), ..u.clone() },
                 Some(u) => u.clone(),
                 None => Processors { known: true, processors: Vec::new(), digest: 1 },
@@ -104,7 +106,7 @@
         })
     }
 
-    /// Starts one processor; asked again by the same nonce it comes to the same one.
+    /// Starts a processor; a repeated request with the same nonce returns the same processor.
     pub(crate) async fn start_processor(&self, s: Start, platform: &str) -> StartAck {
         let leader = self.leader();
         let end = Instant::now() + Duration::from_millis(self.ratio(5.0));
@@ -121,16 +123,20 @@
         };
         while Instant::now() < end && self.holds_leadership() {
             let now = self.now();
-            let (host, fence, known) = self.with(|f| {
-                let evacuated = f.control_state.assignments.evacuated_zones(f.membership.version);
+            let (chosen, fence, has_workers) = self.with(|shared| {
+                let evacuated = shared.control_state.assignments.evacuated_zones(shared.membership.version);
                 let is_allowed =
                     |zone: &str| !evacuated.contains(zone) && (s.zones.is_empty() || s.zones.iter().any(|z| z == zone));
-                (f.launcher.choose_worker(memory, &s.zone, is_allowed, now), f.term(), f.launcher.has_workers())
+                (
+                    shared.launcher.choose_worker(memory, &s.zone, is_allowed, now),
+                    shared.term(),
+                    shared.launcher.has_workers(),
+                )
             });
-            let Some(Worker { name: worker, zone, .. }) = host else {
-                // Not asked yet is not full.
-                ack.full = known;
-                if known {
+            let Some(Worker { name: worker, zone, .. }) = chosen else {
+                // Before the first listing it is not known whether the workers are full.
+                ack.full = has_workers;
+                if has_workers {
                     telemetry::count("starts_without_room");
                     return ack;
                 }
@@ -138,7 +144,7 @@
                 continue;
             };
             let body = serde_json::json!({"plant": s.service, "carrier": worker, "nonce": s.nonce}).to_string();
-            match self.actuate(platform, "/start", &body, fence, end).await {
+            match self.call_platform(platform, "/start", &body, fence, end).await {
                 Some((200, answer)) => {
                     #[derive(serde::Deserialize)]
                     struct Started {
@@ -156,25 +162,27 @@
                 Some((409, _)) => {
                     telemetry::count("starts_refused");
                     let now = self.now();
-                    self.with(|f| f.launcher.exclude(&worker, now));
+                    self.with(|shared| shared.launcher.exclude(&worker, now));
                 }
                 Some((400, _)) => {
                     ack.full = true;
                     return ack;
                 }
-                // No answer, or not now: it may be done; the nonce makes another try harmless.
+                // No answer, or a temporary refusal: the platform may have started the processor; the
+                // nonce makes another try idempotent.
                 _ => tokio::time::sleep(Duration::from_millis(self.ratio(100.0))).await,
             }
         }
         ack
     }
 
+    /// Stops a processor; returns whether the platform confirmed that it is gone.
     pub(crate) async fn stop_processor(&self, processor: &str, platform: &str) -> bool {
         let end = Instant::now() + Duration::from_millis(self.ratio(5.0));
         let body = serde_json::json!({ "id": processor }).to_string();
         while Instant::now() < end && self.holds_leadership() {
-            let fence = self.with(|f| f.term());
-            if let Some((200 | 404, _)) = self.actuate(platform, "/stop", &body, fence, end).await {
+            let fence = self.with(|shared| shared.term());
+            if let Some((200 | 404, _)) = self.call_platform(platform, "/stop", &body, fence, end).await {
                 telemetry::count("stops");
                 return true;
             }
@@ -183,7 +191,9 @@
         false
     }
 
-    async fn actuate(
+    /// Sends one call that changes state at the platform, within the limit of calls per second.
+    /// `None`: the limit allowed no call before `end`, or the platform did not answer.
+    async fn call_platform(
         &self,
         platform: &str,
         path: &str,
@@ -193,7 +203,7 @@
     ) -> Option<(u16, bytes::Bytes)> {
         loop {
             let now = self.now();
-            match self.with(|f| f.launcher.take_token(now)) {
+            match self.with(|shared| shared.launcher.take_token(now)) {
                 Ok(()) => break,
                 Err(_) if Instant::now() > end => return None,
                 Err(ms) => tokio::time::sleep(Duration::from_millis(ms)).await,
