--- a/crates/control/src/quota.rs
+++ b/crates/control/src/quota.rs
@@ -1,16 +1,16 @@
 //! Limits of tenants: a duty of the leader.
 //!
-//! What the owners of all partitions together accept of a tenant in a window is bounded. The
-//! leader grants them shares in tokens; the ledger fences an owner that is lost. A new leader
-//! grants nothing until the owner of every partition has told what was accepted there in the
-//! last window, which a partition's log knows whoever owned it.
+//! The number of messages that the owners of all partitions together accept from a tenant in a
+//! window is bounded. The leader grants them shares of it as tokens; the ledger fences off an owner
+//! that is lost. A new leader grants nothing until the owner of every partition has reported what
+//! was accepted there in the last window; the partition's log records that across owners.
 
 use crate::service::{ControlService, ControlShared};
 use balance::{PartitionSpending, QuotaLedger, QuotaLimit, QuotaReport, QuotaTerms};
 use config::Settings;
 use rpc::messages::{PartitionUsage, QuotaRequest, QuotaResponse, TenantGrant, TenantUsage};
 
-/// The ledger of one leader's term.
+/// The ledger of one leadership term.
 #[derive(Default)]
 pub(crate) struct QuotaLeases {
     term: u64,
@@ -18,14 +18,15 @@
 }
 
 impl QuotaLeases {
-    /// What each tenant with a limit has held and spent, for operators: of this leader's term.
+    /// The tokens that each tenant with a limit has held and spent in this leader's term, for the
+    /// status.
     pub(crate) fn status(&self) -> serde_json::Value {
         let usage = self.ledger.iter().flat_map(QuotaLedger::usage);
         usage.map(|(tenant, held, spent)| serde_json::json!({"tenant": tenant, "held": held, "spent": spent})).collect()
     }
 }
 
-/// How quotas are counted by these settings; `None` where they are not.
+/// The terms of quotas in these settings; `None` if quotas are off.
 pub(crate) fn quota_terms(settings: &Settings) -> Option<QuotaTerms> {
     let constraints = &settings.constraints;
     (constraints.quota_window_s > 0.0).then(|| QuotaTerms {
@@ -46,21 +47,21 @@
 }
 
 impl ControlService {
-    /// Takes what an owner spent, and grants it shares.
-    pub(crate) fn lease_quota(&self, ask: QuotaRequest) -> QuotaResponse {
+    /// Takes an owner's report of spent tokens, and grants it shares.
+    pub(crate) fn lease_quota(&self, request: QuotaRequest) -> QuotaResponse {
         let Some(terms) = quota_terms(&self.settings) else { return QuotaResponse::default() };
         let now = self.now();
-        self.with(|f| {
-            if !f.holds(now) || f.later_incarnation(&ask.node) > 0 {
+        self.with(|shared| {
+            if !shared.holds(now) || shared.later_incarnation(&request.node) > 0 {
                 return QuotaResponse::default();
             }
-            f.answer_quota(ask, terms, now)
+            shared.answer_quota(request, terms, now)
         })
     }
 }
 
 impl ControlShared {
-    fn answer_quota(&mut self, ask: QuotaRequest, terms: QuotaTerms, now: u64) -> QuotaResponse {
+    fn answer_quota(&mut self, request: QuotaRequest, terms: QuotaTerms, now: u64) -> QuotaResponse {
         let configuration = self.read_configuration();
         let term = self.term();
         let leases = &mut self.quota_leases;
@@ -68,14 +69,14 @@
             *leases = QuotaLeases { term, ledger: None };
         }
         let ledger = leases.ledger.get_or_insert_with(|| QuotaLedger::new(terms, now));
-        let (node, incarnation) = (ask.node.name.as_str(), ask.node.incarnation);
-        if !ledger.hear(node, incarnation, ask.sequence, ask.introduces, now) {
+        let (node, incarnation) = (request.node.name.as_str(), request.node.incarnation);
+        if !ledger.hear(node, incarnation, request.sequence, request.introduces, now) {
             return QuotaResponse { introduce: true, ..QuotaResponse::default() };
         }
-        for holding in &ask.counted {
+        for holding in &request.counted {
             ledger.count_partition(holding.partition, holding.term);
         }
-        let reports: Vec<QuotaReport> = ask.usages.into_iter().map(report_of).collect();
+        let reports: Vec<QuotaReport> = request.usages.into_iter().map(report_of).collect();
         for report in &reports {
             ledger.report(node, incarnation, report, now);
         }
@@ -87,8 +88,8 @@
         }
         let mut grants = Vec::with_capacity(reports.len());
         for report in &reports {
-            let limit = configuration.tenant_named(&report.tenant).filter(|tenant| tenant.flow_per_s > 0.0);
-            let Some(tenant) = limit else {
+            let limited_tenant = configuration.tenant_named(&report.tenant).filter(|tenant| tenant.flow_per_s > 0.0);
+            let Some(tenant) = limited_tenant else {
                 grants.push(TenantGrant::default());
                 continue;
             };
@@ -96,18 +97,18 @@
             let answer = ledger.grant(node, incarnation, report, limit, now);
             grants.push(TenantGrant { granted: answer.granted, keep: answer.keep, retry_ms: answer.retry_ms });
             telemetry::add("quota_tokens_granted", u64::from(answer.granted));
-            check_spent(ledger, &report.tenant, limit, now);
+            check_spending(ledger, &report.tenant, limit, now);
         }
         QuotaResponse { taken: true, introduce: false, grants }
     }
 }
 
-/// Invariant: what is known to be spent of a tenant's limit in a window is inside its bound.
-fn check_spent(ledger: &QuotaLedger, tenant: &str, limit: QuotaLimit, now: u64) {
+/// Invariant: the tokens known to be spent by a tenant in a window do not exceed its bound.
+fn check_spending(ledger: &QuotaLedger, tenant: &str, limit: QuotaLimit, now: u64) {
     let Some((spent, bound)) = ledger.spent(tenant, limit, now) else { return };
     telemetry::check_invariant(
         "invariant_quota_overspent",
         spent.saturating_sub(bound),
-        format_args!("tenant {tenant}: {spent} in a window, {bound} allowed"),
+        format_args!("tenant {tenant}: {spent} tokens spent in a window, {bound} allowed"),
     );
 }
