--- a/crates/control/tests/duties.rs
+++ b/crates/control/tests/duties.rs
@@ -1,4 +1,4 @@
-//! What the leader decides: owners, replicas, verdicts.
+//! Decisions of the leader: owners and replicas of partitions, and the evaluation of roll-outs.
 
 use control::*;
 use rpc::messages::*;
@@ -7,9 +7,9 @@
     n.iter().map(|s| s.to_string()).collect()
 }
 
-/// The health of nodes of which some stand and the others are gone.
-fn those(stand: impl Fn(&str) -> bool) -> impl Fn(&str) -> CopyHealth {
-    move |node| if stand(node) { CopyHealth::Sound } else { CopyHealth::Gone }
+/// The health of nodes: sound if `is_live` holds for them, else gone.
+fn sound_if(is_live: impl Fn(&str) -> bool) -> impl Fn(&str) -> CopyHealth {
+    move |node| if is_live(node) { CopyHealth::Sound } else { CopyHealth::Gone }
 }
 
 fn partition(owner: &str, in_sync: &[&str]) -> Partition {
@@ -30,15 +30,20 @@
 #[test]
 fn a_dead_owner_is_succeeded_only_by_one_in_sync() {
     let p = partition("a", &["a", "b"]);
-    assert_eq!(seize(&p, those(|_| true), |_| Some(0)), None);
-    let s = seize(&p, those(|n| n != "a"), |_| Some(0)).expect("b takes over");
+    assert_eq!(seize(&p, sound_if(|_| true), |_| Some(0)), None);
+    let s = seize(&p, sound_if(|n| n != "a"), |_| Some(0)).expect("b takes over");
     assert_eq!((s.owner.as_str(), s.term, s.seized, s.in_sync), ("b", 5, true, names(&["b"])));
-    assert_eq!(seize(&partition("a", &["a"]), those(|n| n != "a"), |_| Some(0)), None, "nobody else holds everything");
-    let s = seize(&p, those(|n| n != "b"), |_| Some(0)).expect("b is dropped");
+    assert_eq!(
+        seize(&partition("a", &["a"]), sound_if(|n| n != "a"), |_| Some(0)),
+        None,
+        "no other node holds every record"
+    );
+    let s = seize(&p, sound_if(|n| n != "b"), |_| Some(0)).expect("b is dropped");
     assert_eq!((s.owner.as_str(), s.term, s.in_sync), ("a", 4, names(&["a"])));
 }
 
-/// Guards against LOST: a disk that did not answer for a moment left partitions with one copy.
+/// Guards against lost messages (LOST): a disk that did not answer for a moment was dropped from the
+/// in-sync sets, which left partitions with one copy.
 #[test]
 fn a_node_whose_disk_does_not_answer_owns_nothing_and_keeps_its_copy() {
     let p = partition("a", &["a", "b"]);
@@ -47,9 +52,9 @@
     assert_eq!(seize(&p, impaired("b"), |_| Some(0)), None, "the follower stays in sync");
     let s = seize(&p, impaired("a"), |_| Some(0)).expect("b takes over");
     assert_eq!((s.owner.as_str(), s.term, s.in_sync), ("b", 5, names(&["a", "b"])));
-    assert_eq!(seize(&p, |_| CopyHealth::Impaired, |_| Some(0)), None, "nobody can write");
+    assert_eq!(seize(&p, |_| CopyHealth::Impaired, |_| Some(0)), None, "no node can write");
     assert_eq!(revive(&p, |_| CopyHealth::Impaired, |_| Some(0)), None);
-    let r = revive(&p, impaired("a"), |_| Some(0)).expect("b begins anew");
+    let r = revive(&p, impaired("a"), |_| Some(0)).expect("b becomes the owner");
     assert_eq!((r.owner.as_str(), r.in_sync), ("b", names(&["a", "b"])));
 }
 
@@ -71,19 +76,19 @@
     let mut p = partition("a", &["a", "b"]);
     p.set_joined("a", 7);
     p.set_joined("b", 7);
-    assert_eq!(seize(&p, those(|_| true), |_| Some(7)), None);
-    // Restarted with its disk: the other one goes on, both hold everything.
-    let s = seize(&p, those(|_| true), |n| Some(if n == "a" { 9 } else { 7 })).expect("a new term");
+    assert_eq!(seize(&p, sound_if(|_| true), |_| Some(7)), None);
+    // The owner restarted with its disk: the other node takes over, and both stay in sync.
+    let s = seize(&p, sound_if(|_| true), |n| Some(if n == "a" { 9 } else { 7 })).expect("a new term");
     assert_eq!((s.owner.as_str(), s.term, s.in_sync.len(), s.joined_incarnation("b")), ("b", 5, 2, 7));
-    // Alone, it goes on itself, in its new incarnation.
-    let s = seize(&p, those(|n| n == "a"), |_| Some(9)).expect("a new term");
+    // If it is the only live node, it becomes the owner again, in its new incarnation.
+    let s = seize(&p, sound_if(|n| n == "a"), |_| Some(9)).expect("a new term");
     assert_eq!((s.owner.as_str(), s.term, s.joined_incarnation("a")), ("a", 5, 9));
-    // A leader that is new waits for a node to tell its incarnation before it gives it anything.
-    let told = |n: &str| (n != "b").then_some(9);
-    assert_eq!(seize(&p, those(|_| true), told).map(|s| s.owner), Some("a".into()));
-    assert_eq!(seize(&p, those(|n| n == "b"), |_| None), None);
-    // A follower that came back empty does not stand: it is out until it joins anew.
-    let s = seize(&p, those(|n| n != "b"), |n| Some(if n == "b" { 9 } else { 7 })).expect("b is dropped");
+    // A new leader gives a node nothing before the node has reported its incarnation.
+    let reported = |n: &str| (n != "b").then_some(9);
+    assert_eq!(seize(&p, sound_if(|_| true), reported).map(|s| s.owner), Some("a".into()));
+    assert_eq!(seize(&p, sound_if(|n| n == "b"), |_| None), None);
+    // A follower that came back with an empty disk does not count until it joins again.
+    let s = seize(&p, sound_if(|n| n != "b"), |n| Some(if n == "b" { 9 } else { 7 })).expect("b is dropped");
     assert_eq!((s.owner.as_str(), s.term, s.in_sync), ("a", 4, names(&["a"])));
     let mut join = order(OrderKind::Join, 4, "b");
     join.incarnation = 9;
@@ -92,34 +97,34 @@
 }
 
 #[test]
-fn with_a_grant_out_only_those_of_both_terms_are_eligible() {
+fn with_a_pending_grant_only_nodes_in_sync_in_both_terms_are_eligible() {
     let mut p = partition("a", &["a", "b"]);
     p.grant = Some(Grant { term: 5, candidate: "b".into(), in_sync: names(&["b"]) });
-    let s = seize(&p, those(|n| n == "b"), |_| Some(0)).expect("the candidate");
+    let s = seize(&p, sound_if(|n| n == "b"), |_| Some(0)).expect("the candidate");
     assert_eq!((s.owner.as_str(), s.term), ("b", 6));
-    assert_eq!(seize(&p, those(|n| n == "a"), |_| Some(0)), None, "the candidate may have taken messages alone");
+    assert_eq!(seize(&p, sound_if(|n| n == "a"), |_| Some(0)), None, "the candidate may have accepted messages alone");
     p.grant = Some(Grant { term: 5, candidate: "b".into(), in_sync: names(&["a", "b"]) });
-    let s = seize(&p, those(|n| n == "a"), |_| Some(0)).expect("the incumbent goes on");
+    let s = seize(&p, sound_if(|n| n == "a"), |_| Some(0)).expect("the owner of the earlier term continues");
     assert_eq!((s.owner.as_str(), s.term, s.grant), ("a", 6, None));
 }
 
 #[test]
-fn orders_are_ruled_by_term() {
+fn orders_are_granted_or_refused_by_term() {
     let p = partition("a", &["a", "b"]);
     assert_eq!(rule(&p, &order(OrderKind::Grant, 3, "b")), RolloutVerdict::Refused);
     assert_eq!(rule(&p, &order(OrderKind::Grant, 4, "c")), RolloutVerdict::Refused, "not in sync");
     let RolloutVerdict::Put(g) = rule(&p, &order(OrderKind::Grant, 4, "b")) else { panic!("granted") };
     assert_eq!(rule(&g, &order(OrderKind::Grant, 4, "b")), RolloutVerdict::Stands);
-    assert_eq!(rule(&g, &order(OrderKind::Join, 4, "c")), RolloutVerdict::Refused, "not while a grant is out");
+    assert_eq!(rule(&g, &order(OrderKind::Join, 4, "c")), RolloutVerdict::Refused, "not while a grant is pending");
     let RolloutVerdict::Put(o) = rule(&g, &order(OrderKind::Own, 5, "b")) else { panic!("owned") };
     assert_eq!((o.owner.as_str(), o.term, o.grant.is_none()), ("b", 5, true));
     assert_eq!(rule(&p, &order(OrderKind::Own, 5, "b")), RolloutVerdict::Refused, "nothing was granted");
-    assert_eq!(rule(&p, &order(OrderKind::Drop, 0, "a")), RolloutVerdict::Refused, "an owner does not just leave");
+    assert_eq!(rule(&p, &order(OrderKind::Drop, 0, "a")), RolloutVerdict::Refused, "an owner cannot be dropped");
     let RolloutVerdict::Put(d) = rule(&p, &order(OrderKind::Drop, 0, "b")) else { panic!("dropped") };
     assert_eq!(d.in_sync, names(&["a"]));
 }
 
-fn stands(zones: &[(&str, &str, usize)]) -> Vec<StoreMachine> {
+fn machines(zones: &[(&str, &str, usize)]) -> Vec<StoreMachine> {
     let each = |(z, r, n): &(&str, &str, usize)| {
         let (z, r) = (z.to_string(), r.to_string());
         (0..*n)
@@ -129,7 +134,7 @@
     zones.iter().flat_map(each).collect()
 }
 
-/// Over what the loads of nodes reach: owned, and held.
+/// The minimum and maximum over nodes of the partitions that they own, and that they hold.
 fn loads(all: &[Partition], live: &[StoreMachine]) -> ((usize, usize), (usize, usize)) {
     let range = |f: &dyn Fn(&Partition, &str) -> bool| {
         let n: Vec<usize> = live.iter().map(|s| all.iter().filter(|p| f(p, &s.name)).count()).collect();
@@ -140,59 +145,59 @@
 
 #[test]
 fn partitions_follow_the_store_machines_at_3_16_and_60() {
-    let three = stands(&[("x", "r", 1), ("y", "s", 1), ("z", "t", 1)]);
-    let sixteen = stands(&[("a", "r", 3), ("b", "r", 3), ("c", "s", 3), ("d", "s", 2), ("e", "t", 3), ("f", "t", 2)]);
-    let sixty = stands(&[("a", "r", 20), ("b", "r", 10), ("c", "s", 20), ("d", "s", 10)]);
+    let three = machines(&[("x", "r", 1), ("y", "s", 1), ("z", "t", 1)]);
+    let sixteen = machines(&[("a", "r", 3), ("b", "r", 3), ("c", "s", 3), ("d", "s", 2), ("e", "t", 3), ("f", "t", 2)]);
+    let sixty = machines(&[("a", "r", 20), ("b", "r", 10), ("c", "s", 20), ("d", "s", 10)]);
     for (live, replica_count) in [(three, 2), (sixteen, 3), (sixty, 3)] {
         let all = layout(&live, replica_count, Spread::default());
         assert_eq!(all.len(), 2 * live.len());
         let (owned, held) = loads(&all, &live);
-        assert_eq!(owned, (2, 2), "every node owns work");
+        assert_eq!(owned, (2, 2), "every node owns two partitions");
         assert!(held.1 - held.0 <= 3, "{held:?}");
         for p in &all {
             let mut replicas = p.replicas.clone();
             replicas.sort();
             replicas.dedup();
-            assert_eq!(replicas.len(), replica_count, "so many losses leave one");
+            assert_eq!(replicas.len(), replica_count, "on distinct nodes, so one copy survives the tolerated losses");
             let place = |n: &String| live.iter().find(|s| s.name == *n).expect("a node");
             let regions = p.replicas.iter().filter(|h| place(h).region != place(&p.replicas[0]).region).count();
-            assert!(live.len() == 3 || regions == 0, "no body crosses regions for its copies");
+            assert!(live.len() == 3 || regions == 0, "bodies are not copied between regions");
             let zones = p.replicas.iter().filter(|h| place(h).zone != place(&p.replicas[0]).zone).count();
             assert!(zones > 0, "not all in one zone");
         }
-        // What one lost node owned is not taken over by one other alone.
-        let heirs: std::collections::HashSet<&String> =
+        // The partitions of one lost owner pass to more than one other node.
+        let successors: std::collections::HashSet<&String> =
             all.iter().filter(|p| p.replicas[0] == live[0].name).map(|p| &p.replicas[1]).collect();
-        assert!(heirs.len() > 1, "{heirs:?}");
+        assert!(successors.len() > 1, "{successors:?}");
     }
-    let wide = layout(&stands(&[("a", "r", 2), ("b", "s", 2)]), 2, Spread { zones: 1, regions: 1 });
+    let wide = layout(&machines(&[("a", "r", 2), ("b", "s", 2)]), 2, Spread { zones: 1, regions: 1 });
     assert!(wide.iter().all(|p| p.replicas[0].starts_with('a') != p.replicas[1].starts_with('a')));
 }
 
 #[test]
-fn added_nodes_are_given_work_one_move_at_a_time_and_a_retiring_one_is_emptied() {
-    let old = stands(&[("a", "r", 3), ("b", "r", 3), ("c", "s", 3), ("d", "s", 3)]);
+fn added_nodes_receive_replicas_one_move_at_a_time_and_a_retiring_node_is_emptied() {
+    let old = machines(&[("a", "r", 3), ("b", "r", 3), ("c", "s", 3), ("d", "s", 3)]);
     let mut all = layout(&old, 3, Spread::default());
     let mut live = old.clone();
-    live.extend(stands(&[("e", "r", 1), ("f", "s", 1)]));
+    live.extend(machines(&[("e", "r", 1), ("f", "s", 1)]));
     let mut moves = 0;
-    while let Some(now) = rebalance(&all, &live) {
+    while let Some(updated) = rebalance(&all, &live) {
         moves += 1;
-        assert!(moves < 40, "it comes to an end");
-        let at = all.iter().position(|p| p.id == now.id).expect("that partition");
-        all[at] = now.clone();
-        assert_eq!(rebalance(&all, &live), None, "not while that one is under way");
-        all[at].owner = now.replicas[0].clone();
-        all[at].in_sync = now.replicas;
+        assert!(moves < 40, "rebalancing terminates");
+        let at = all.iter().position(|p| p.id == updated.id).expect("that partition");
+        all[at] = updated.clone();
+        assert_eq!(rebalance(&all, &live), None, "no second move before the first one is complete");
+        all[at].owner = updated.replicas[0].clone();
+        all[at].in_sync = updated.replicas;
     }
     let ((least, most), held) = loads(&all, &live);
     assert!(least >= 1 && most <= 2 && held.1 - held.0 <= 1, "{least} {most} {held:?}");
-    let gone = live.remove(0);
-    for p in all.clone().iter().filter(|p| p.replicas.contains(&gone.name)) {
-        let now = replace_replica(p, &gone.name, &all, &live, 3, Spread::default()).expect("a new home");
-        assert!(!now.replicas.contains(&gone.name) && now.replicas.len() == 3);
-        assert!(p.in_sync.contains(&now.replicas[0]), "the move goes to one that follows already");
-        all[p.id as usize] = now;
+    let removed = live.remove(0);
+    for p in all.clone().iter().filter(|p| p.replicas.contains(&removed.name)) {
+        let updated = replace_replica(p, &removed.name, &all, &live, 3, Spread::default()).expect("another node");
+        assert!(!updated.replicas.contains(&removed.name) && updated.replicas.len() == 3);
+        assert!(p.in_sync.contains(&updated.replicas[0]), "the preferred owner is in sync already");
+        all[p.id as usize] = updated;
     }
     assert!(loads(&all, &live).1.1 <= 8);
 }
@@ -216,17 +221,21 @@
 }
 
 #[test]
-fn failures_and_slowness_are_told_from_what_the_old_version_does() {
-    let mut p = RolloutMonitor::default();
-    p.add("v2", &sample("v1", "r", 200, 4, 50.0));
-    p.add("v2", &sample("v2", "r", 20, 1, 70.0));
-    assert_eq!(p.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait);
-    p.add("v2", &sample("v2", "r", 3, 5, 70.0));
-    assert!(matches!(p.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Revert(_)));
+fn failures_and_slowness_are_measured_against_the_old_version() {
+    let mut monitor = RolloutMonitor::default();
+    monitor.add("v2", &sample("v1", "r", 200, 4, 50.0));
+    monitor.add("v2", &sample("v2", "r", 20, 1, 70.0));
+    assert_eq!(monitor.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait);
+    monitor.add("v2", &sample("v2", "r", 3, 5, 70.0));
+    assert!(matches!(monitor.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Revert(_)));
     let mut quick = RolloutMonitor::default();
     quick.add("v2", &sample("v1", "r", 200, 0, 1.0));
     quick.add("v2", &sample("v2", "r", 20, 0, 3.0));
-    assert_eq!(quick.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait, "the way there takes that long");
+    assert_eq!(
+        quick.decide(&rollout(60), 1000, 500, 25.0),
+        RolloutDecision::Wait,
+        "a difference that the network may cause"
+    );
     let mut slow = RolloutMonitor::default();
     slow.add("v2", &sample("v1", "r", 200, 0, 50.0));
     slow.add("v2", &sample("v2", "r", 12, 0, 300.0));
@@ -234,27 +243,27 @@
 }
 
 #[test]
-fn one_bad_route_among_good_ones_is_found() {
-    let mut p = RolloutMonitor::default();
+fn one_bad_route_among_good_ones_reverts_the_rollout() {
+    let mut monitor = RolloutMonitor::default();
     for c in ["r1", "r2", "r3"] {
-        p.add("v2", &sample("v1", c, 200, 2, 50.0));
-        p.add("v2", &sample("v2", c, 40, 0, 50.0));
+        monitor.add("v2", &sample("v1", c, 200, 2, 50.0));
+        monitor.add("v2", &sample("v2", c, 40, 0, 50.0));
     }
-    assert_eq!(p.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait);
-    p.add("v2", &sample("v2", "r4", 3, 5, 50.0));
-    assert!(matches!(p.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Revert(_)));
+    assert_eq!(monitor.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Wait);
+    monitor.add("v2", &sample("v2", "r4", 3, 5, 50.0));
+    assert!(matches!(monitor.decide(&rollout(60), 1000, 500, 25.0), RolloutDecision::Revert(_)));
 }
 
 #[test]
 fn a_good_version_is_raised_in_steps_and_settles_in_time() {
-    let mut p = RolloutMonitor::default();
+    let mut monitor = RolloutMonitor::default();
     let (mut r, mut settled) = (rollout(RolloutMonitor::first_share(0.1)), 0);
     for t in (0..10_000).step_by(100) {
-        p.add("v2", &sample("v1", "r", 10, 0, 50.0));
-        p.add("v2", &sample("v2", "r", (r.share / 100 + 1).min(10), 0, 55.0));
-        match p.decide(&r, t, 500, 25.0) {
+        monitor.add("v2", &sample("v1", "r", 10, 0, 50.0));
+        monitor.add("v2", &sample("v2", "r", (r.share / 100 + 1).min(10), 0, 55.0));
+        match monitor.decide(&r, t, 500, 25.0) {
             RolloutDecision::Share(s) => {
-                assert!(s > r.share && t >= 4000, "exposure stays small at first");
+                assert!(s > r.share && t >= 4000, "exposure stays small: no raise in the first 40% of the time");
                 r.share = s;
             }
             RolloutDecision::Settle => {
@@ -270,13 +279,13 @@
 }
 
 #[test]
-fn when_nobody_acts_as_owner_one_that_holds_everything_begins_anew() {
+fn when_no_node_acts_as_owner_a_node_in_sync_is_given_a_new_term() {
     let mut p = partition("a", &["a", "b"]);
-    let r = revive(&p, those(|_| true), |_| Some(0)).expect("the same owner");
+    let r = revive(&p, sound_if(|_| true), |_| Some(0)).expect("the same owner");
     assert_eq!((r.owner.as_str(), r.term, r.seized, r.in_sync), ("a", 5, true, names(&["a", "b"])));
-    assert_eq!(revive(&p, those(|n| n == "b"), |_| Some(0)).map(|r| r.owner), Some("b".into()));
+    assert_eq!(revive(&p, sound_if(|n| n == "b"), |_| Some(0)).map(|r| r.owner), Some("b".into()));
     p.grant = Some(Grant { term: 5, candidate: "b".into(), in_sync: names(&["b"]) });
-    let r = revive(&p, those(|_| true), |_| Some(0)).expect("the candidate may have more");
+    let r = revive(&p, sound_if(|_| true), |_| Some(0)).expect("the candidate, which may hold more records");
     assert_eq!((r.owner.as_str(), r.term), ("b", 6));
-    assert_eq!(revive(&p, those(|n| n == "a"), |_| Some(0)), None);
+    assert_eq!(revive(&p, sound_if(|n| n == "a"), |_| Some(0)), None);
 }
