--- a/crates/control/tests/scaler.rs
+++ b/crates/control/tests/scaler.rs
@@ -1,5 +1,5 @@
-//! The scaler against a stand-in platform on loopback: answers that are lost, workers
-//! without room, and a leader that ends in between.
+//! The scaler against a fake platform on loopback: lost answers, workers without headroom, and a
+//! leader that ends in between.
 
 #[path = "common/loopback.rs"]
 mod loopback;
@@ -19,21 +19,21 @@
 
 #[derive(Default)]
 struct Platform {
-    /// Processors by nonce, and in which worker each stands.
+    /// Processors by the nonce of their start: id and worker.
     started: HashMap<String, (String, String)>,
     stopped: Vec<String>,
     fences: Vec<u64>,
     calls: usize,
-    /// So many answers to starts are lost after they were carried out.
-    lose: usize,
+    /// How many more answers to starts are lost after the platform has carried them out.
+    answers_to_lose: usize,
 }
 
 fn answer(p: &Arc<Mutex<Platform>>, r: &http1::Request) -> Reply {
     let mut p = p.lock().unwrap();
-    let said: serde_json::Value = serde_json::from_slice(&r.body).unwrap_or_default();
-    let text = |f: &str| said[f].as_str().unwrap_or("").to_owned();
+    let body: serde_json::Value = serde_json::from_slice(&r.body).unwrap_or_default();
+    let text = |field: &str| body[field].as_str().unwrap_or("").to_owned();
     match r.path.as_str() {
-        // Small says that it has room, and refuses all the same.
+        // The worker "small" reports headroom but refuses starts.
         "/workers" => Reply::json(
             200,
             r#"{"carriers":[{"name":"small","zone":"z","memoryMb":900,"headroomMb":900,"state":"ready"},
@@ -50,8 +50,8 @@
             }
             let n = p.started.len() + 1;
             let one = p.started.entry(text("nonce")).or_insert((format!("i-{n}"), text("carrier"))).clone();
-            if p.lose > 0 {
-                p.lose -= 1;
+            if p.answers_to_lose > 0 {
+                p.answers_to_lose -= 1;
                 return Reply { cut: true, ..Reply::new(200) };
             }
             Reply::json(200, serde_json::json!({"id": one.0, "address": "127.0.0.1:9"}).to_string())
@@ -70,20 +70,20 @@
     }
 }
 
-struct World {
+struct Fixture {
     platform: Arc<Mutex<Platform>>,
     settings: Settings,
     control: Arc<RpcClient>,
 }
 
-impl World {
-    async fn new() -> World {
+impl Fixture {
+    async fn new() -> Fixture {
         let platform = Arc::new(Mutex::new(Platform::default()));
         let p = platform.clone();
         let address = loopback::platform(move |r| answer(&p, r)).await;
         let settings = loopback::settings("functions", &address, 50_000);
         let control = RpcClient::new(&format!("127.0.0.1:{}", settings.port_range[0]), WAIT);
-        World { platform, settings, control }
+        Fixture { platform, settings, control }
     }
 
     fn run(&self) -> (watch::Sender<bool>, tokio::task::JoinHandle<Result<(), String>>) {
@@ -98,62 +98,62 @@
         }
     }
 
-    /// Asks until there is a processor, as a slot owner does.
-    async fn started(&self, nonce: &str) -> String {
+    /// Repeats a start until there is a processor, as a slot owner does.
+    async fn start_until_done(&self, nonce: &str) -> String {
         let begun = Instant::now();
         loop {
             let a = self.start("f", nonce).await;
             if !a.processor.is_empty() {
                 return a.processor;
             }
-            assert!(begun.elapsed() < 3 * WAIT, "nothing started by {nonce}: {a:?}");
+            assert!(begun.elapsed() < 3 * WAIT, "no processor for nonce {nonce}: {a:?}");
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_start_is_carried_out_once_whatever_is_lost() {
-    let w = World::new().await;
-    let (stop, running) = w.run();
-    loopback::order(&w.settings, "/config/replace", CONFIG).await;
-    // Two answers are lost after the platform did it; one worker refuses.
-    w.platform.lock().unwrap().lose = 2;
-    let a = w.started("n-1").await;
+async fn a_start_is_carried_out_once_even_if_answers_are_lost() {
+    let fixture = Fixture::new().await;
+    let (stop, running) = fixture.run();
+    loopback::order(&fixture.settings, "/config/replace", CONFIG).await;
+    // Two answers are lost after the platform has carried out the start; one worker refuses.
+    fixture.platform.lock().unwrap().answers_to_lose = 2;
+    let a = fixture.start_until_done("n-1").await;
     assert_eq!(a, "i-1");
-    assert_eq!(w.started("n-1").await, a, "asked again by the same nonce");
-    assert_eq!(w.started("n-2").await, "i-2");
-    // No worker is large enough: told at once, and nothing was called for it.
-    let calls = w.platform.lock().unwrap().calls;
-    let none = w.start("big", "n-3").await;
+    assert_eq!(fixture.start_until_done("n-1").await, a, "a repeated nonce returns the same processor");
+    assert_eq!(fixture.start_until_done("n-2").await, "i-2");
+    // No worker has enough headroom: answered at once, without a call to the platform.
+    let calls = fixture.platform.lock().unwrap().calls;
+    let none = fixture.start("big", "n-3").await;
     assert!(none.full && none.processor.is_empty());
-    assert!(w.start("unknown", "n-4").await.full);
-    assert_eq!(w.platform.lock().unwrap().calls, calls);
-    // The leader ends and another incarnation of it goes on: the list is the truth, the nonce
-    // still comes to the same processor, and the fence is a higher one.
-    let before = w.platform.lock().unwrap().fences.iter().copied().max().expect("some");
+    assert!(fixture.start("unknown", "n-4").await.full);
+    assert_eq!(fixture.platform.lock().unwrap().calls, calls);
+    // The leader ends and another incarnation takes over: the platform's listing is authoritative,
+    // the nonce still returns the same processor, and the fence is higher.
+    let before = fixture.platform.lock().unwrap().fences.iter().copied().max().expect("some");
     let _ = stop.send(true);
-    running.await.expect("no panic").expect("it ends well");
-    let (stop, running) = w.run();
-    w.platform.lock().unwrap().lose = 1;
-    assert_eq!(w.started("n-2").await, "i-2");
+    running.await.expect("no panic").expect("ends without an error");
+    let (stop, running) = fixture.run();
+    fixture.platform.lock().unwrap().answers_to_lose = 1;
+    assert_eq!(fixture.start_until_done("n-2").await, "i-2");
     {
-        let p = w.platform.lock().unwrap();
-        assert_eq!(p.started.len(), 2, "none was started twice");
+        let p = fixture.platform.lock().unwrap();
+        assert_eq!(p.started.len(), 2, "no processor was started twice");
         assert!(*p.fences.last().expect("some") > before && before > 0);
     }
-    // Stopped, and stopped again by one that did not hear of it.
+    // A stop, and its repeat by a caller that did not get the answer.
     for _ in 0..2 {
         let stop = Body::Stop(StopProcessor { processor: "i-1".into() });
-        assert!(matches!(w.control.call(stop, WAIT).await, Ok(Body::Ack(_))));
+        assert!(matches!(fixture.control.call(stop, WAIT).await, Ok(Body::Ack(_))));
     }
-    // A slot owner that is not known to the membership is told nothing that is another's.
+    // A slot owner that is not in the membership is given no processors of others.
     let ask = ProcessorsRequest { front: "front-9".into(), digest: 0 };
-    match w.control.call(Body::ProcessorsRequest(ask), WAIT).await {
+    match fixture.control.call(Body::ProcessorsRequest(ask), WAIT).await {
         Ok(Body::Processors(u)) => assert!(u.processors.is_empty()),
         other => panic!("{other:?}"),
     }
     let _ = stop.send(true);
-    running.await.expect("no panic").expect("it ends well");
-    let _ = std::fs::remove_dir_all(&w.settings.data_dir);
+    running.await.expect("no panic").expect("ends without an error");
+    let _ = std::fs::remove_dir_all(&fixture.settings.data_dir);
 }
