--- a/crates/control/tests/homes.rs
+++ b/crates/control/tests/homes.rs
@@ -1,4 +1,5 @@
-//! Partitions that are bound to a region: how they are laid out, moved and added.
+//! Partitions that are bound to a region: their layout, replacement of replicas, and the addition of
+//! further regions.
 
 use control::*;
 use proptest::prelude::*;
@@ -40,15 +41,15 @@
     for p in &partitions {
         assert_eq!((p.home.as_str(), p.replicas.len()), ("r2", REPLICA_COUNT));
         assert!(p.replicas.iter().all(|r| region_of(&all, r) == "r2"), "{p:?}");
-        assert_eq!(zones_of(&all, p).len(), 2, "one zone may go: {p:?}");
+        assert_eq!(zones_of(&all, p).len(), 2, "the loss of one zone leaves a copy: {p:?}");
     }
 }
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 200, ..ProptestConfig::default() })]
 
-    /// Whatever machines are lost, one after the other and each for good, no copy is ever to
-    /// stand outside the home, and as many stand inside as there can be.
+    /// After any sequence of permanent losses of machines, a bound partition has no replica outside
+    /// its region, and as many inside as the region's machines allow.
     #[test]
     fn no_loss_moves_a_copy_out_of_its_home(
         counts in prop::collection::vec(1usize..4, 6),
@@ -63,17 +64,19 @@
             if live.len() <= REPLICA_COUNT {
                 break;
             }
-            let gone = live.remove(at % live.len());
+            let removed = live.remove(at % live.len());
             for n in 0..partitions.len() {
-                if let Some(now) = replace_replica(&partitions[n], &gone.name, &partitions, &live, REPLICA_COUNT, SPREAD) {
-                    partitions[n] = now;
+                let updated =
+                    replace_replica(&partitions[n], &removed.name, &partitions, &live, REPLICA_COUNT, SPREAD);
+                if let Some(updated) = updated {
+                    partitions[n] = updated;
                 }
             }
         }
         for p in partitions.iter().filter(|p| !p.home.is_empty()) {
             prop_assert!(p.replicas.iter().all(|r| region_of(&all, r) == p.home), "{:?}", p);
-            let there = eligible_machines(p, &live).count();
-            prop_assert_eq!(p.replicas.len(), REPLICA_COUNT.min(there), "{:?}", p);
+            let eligible = eligible_machines(p, &live).count();
+            prop_assert_eq!(p.replicas.len(), REPLICA_COUNT.min(eligible), "{:?}", p);
         }
         for p in partitions.iter().filter(|p| p.home.is_empty()) {
             prop_assert_eq!(p.replicas.len(), REPLICA_COUNT);
@@ -86,14 +89,14 @@
     let mut all = machines(&[2, 2, 2, 2, 2, 2]);
     let mut partitions = layout(&all, REPLICA_COUNT, SPREAD);
     partitions.extend(home_layout("r0", &all, 24, REPLICA_COUNT, SPREAD));
-    let newcomer = StoreMachine { name: "store-new".into(), zone: "z0".into(), region: "r0".into() };
-    all.push(newcomer);
+    let added = StoreMachine { name: "store-new".into(), zone: "z0".into(), region: "r0".into() };
+    all.push(added);
     let mut moves = 0;
-    while let Some(now) = rebalance(&partitions, &all) {
-        let slot = partitions.iter_mut().find(|p| p.id == now.id).expect("one of them");
-        *slot = Partition { owner: now.replicas[0].clone(), in_sync: now.replicas.clone(), ..now };
+    while let Some(updated) = rebalance(&partitions, &all) {
+        let slot = partitions.iter_mut().find(|p| p.id == updated.id).expect("one of them");
+        *slot = Partition { owner: updated.replicas[0].clone(), in_sync: updated.replicas.clone(), ..updated };
         moves += 1;
-        assert!(moves < 100, "it never ends");
+        assert!(moves < 100, "rebalancing does not terminate");
     }
     assert!(moves > 0);
     for p in partitions.iter().filter(|p| !p.home.is_empty()) {
@@ -102,27 +105,34 @@
 }
 
 #[test]
-fn the_partitions_of_a_region_are_added_once_and_behind_all_others() {
+fn the_partitions_of_a_region_are_added_once_and_with_ids_above_all_others() {
     let all = machines(&[2, 2, 2, 2, 2, 2]);
     let mut state = ControlState::default();
     let mut index = 0;
-    let mut put = |state: &mut ControlState, word| {
+    let mut apply = |state: &mut ControlState, payload| {
         use prost::Message;
         index += 1;
-        state.apply(index, &Command { word: Some(word), at_ms: 0 }.encode_to_vec().into())
+        state.apply(index, &Command { word: Some(payload), at_ms: 0 }.encode_to_vec().into())
     };
-    let homes = |region, first| {
+    let home_command = |region, first| {
         CommandPayload::HomeLayout(Layout { partitions: home_layout(region, &all, first, REPLICA_COUNT, SPREAD) })
     };
-    assert_eq!(put(&mut state, homes("r0", 0)), ApplyResult::Beaten, "not before the first layout");
+    assert_eq!(apply(&mut state, home_command("r0", 0)), ApplyResult::Beaten, "not before the first layout");
     let partitions = layout(&all, REPLICA_COUNT, SPREAD);
     let unbound = partitions.len() as u32;
-    assert_eq!(put(&mut state, CommandPayload::Layout(Layout { partitions })), ApplyResult::Done);
-    assert_eq!(put(&mut state, homes("r0", unbound)), ApplyResult::Done);
-    assert_eq!(put(&mut state, homes("r0", unbound + 4)), ApplyResult::Beaten, "a second leader's");
-    assert_eq!(put(&mut state, homes("r1", unbound + 1)), ApplyResult::Beaten, "numbers in use");
-    assert_eq!(put(&mut state, homes("r1", unbound + 4)), ApplyResult::Done);
+    assert_eq!(apply(&mut state, CommandPayload::Layout(Layout { partitions })), ApplyResult::Done);
+    assert_eq!(apply(&mut state, home_command("r0", unbound)), ApplyResult::Done);
+    assert_eq!(
+        apply(&mut state, home_command("r0", unbound + 4)),
+        ApplyResult::Beaten,
+        "a second layout of the region"
+    );
+    assert_eq!(apply(&mut state, home_command("r1", unbound + 1)), ApplyResult::Beaten, "ids in use");
+    assert_eq!(apply(&mut state, home_command("r1", unbound + 4)), ApplyResult::Done);
     for hash in 0..1000 {
-        assert!(state.assignments.partition_for(hash).expect("one") < unbound, "an unbound message in a bound one");
+        assert!(
+            state.assignments.partition_for(hash).expect("one") < unbound,
+            "an unbound message in a bound partition"
+        );
     }
 }
