--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -17,11 +17,11 @@
 
 /// Bytes of entries that go in one message, unless one alone is larger; also those
 /// of one piece of a snapshot.
-const APPEND_BYTES: usize = rpc::FRAME_LIMIT / 4;
+const MAX_APPEND_BYTES: usize = rpc::FRAME_LIMIT / 4;
 /// No message is further than that many terms ahead of what is known here.
-const TERM_LEAP: u64 = 1 << 32;
+const MAX_TERM_JUMP: u64 = 1 << 32;
 /// More voters than any settings ask for.
-const MOST_VOTERS: usize = 63;
+const MAX_VOTERS: usize = 63;
 
 pub enum Event {
     Tick,
@@ -104,21 +104,21 @@
 /// A snapshot on its way to one that lacks it. It is the one with which the sending
 /// began, also when the leader has a newer one by now.
 #[derive(Clone)]
-struct Outgoing {
+struct OutgoingSnapshot {
     index: u64,
     term: u64,
     voters: Vec<String>,
     state: Bytes,
     digest: Bytes,
     /// How many bytes the other side said that it holds.
-    held: u64,
+    acked_bytes: u64,
     /// The round in which the piece from there was sent; 0: not yet.
-    sent: u64,
+    sent_in_round: u64,
 }
 
 /// A snapshot of which some pieces have come. It changes nothing before it is whole.
 #[derive(Clone)]
-struct Incoming {
+struct IncomingSnapshot {
     index: u64,
     term: u64,
     digest: Bytes,
@@ -134,20 +134,20 @@
 }
 
 /// SHA-256 of a snapshot.
-fn digest_of(state: &[u8]) -> Bytes {
+fn sha256(state: &[u8]) -> Bytes {
     use sha2::Digest;
     Bytes::copy_from_slice(&sha2::Sha256::digest(state))
 }
 
 #[derive(Clone)]
 pub struct RaftNode {
-    me: String,
+    id: String,
     pub hard: HardState,
     state: Bytes,
     /// Of the snapshot, once somebody wanted it.
     digest: Option<Bytes>,
-    outgoing: HashMap<String, Outgoing>,
-    incoming: Option<Incoming>,
+    outgoing: HashMap<String, OutgoingSnapshot>,
+    incoming: Option<IncomingSnapshot>,
     /// The largest snapshot that is taken, in bytes.
     snapshot_limit: u64,
     /// Told to end: does not campaign any more.
@@ -158,47 +158,47 @@
     /// The voters that the newest entry about them names, committed or not, and
     /// that entry's index.
     voters: Vec<String>,
-    voters_at: u64,
+    voters_index: u64,
     /// Control nodes without a vote that are kept up to date.
     learners: Vec<String>,
     /// The round in which another one's log was last gone back for: refusals of what
     /// was sent before then are answered already.
-    gone_back: HashMap<String, u64>,
+    rewound_in_round: HashMap<String, u64>,
     pub commit: u64,
     applied: u64,
     pub role: StateRole,
     pub leader: String,
-    heard: u64,
-    election_at: u64,
-    beat_at: u64,
+    leader_heard_at: u64,
+    election_deadline: u64,
+    heartbeat_at: u64,
     votes: HashSet<String>,
     /// Has heard of no leader since this process began.
-    blank: bool,
+    leaderless_since_start: bool,
     /// When it asks for votes next, while that holds.
-    blank_at: u64,
+    startup_campaign_at: u64,
     /// Voters that said the same in answer to a pre_vote, and whether they would
     /// elect this one.
-    blanks: HashMap<String, bool>,
-    next: HashMap<String, u64>,
-    matched: HashMap<String, u64>,
+    startup_responses: HashMap<String, bool>,
+    next_index: HashMap<String, u64>,
+    match_index: HashMap<String, u64>,
     /// When the round was sent that a voter has answered last.
-    answered: HashMap<String, u64>,
+    lease_acked_at: HashMap<String, u64>,
     /// As `answered`, probes included: says who is reached, and extends no lease.
-    reached: HashMap<String, u64>,
-    sent: HashMap<u64, SentRound>,
+    reached_at: HashMap<String, u64>,
+    sent_rounds: HashMap<u64, SentRound>,
     round: u64,
     /// Whether the current round is a probe, which keeps no follower from electing.
     probing: bool,
     /// When this process began.
-    born: u64,
+    started_at: u64,
     /// Names this incarnation where it asks to be readmitted.
-    asks_as: u64,
+    readmission_id: u64,
     /// Tells the answers to one campaign from those to another.
-    ballot: u64,
+    campaign_id: u64,
     /// Who waits to be readmitted, and when that was first heard.
-    waiting: HashMap<String, u64>,
+    awaiting_readmission: HashMap<String, u64>,
     /// The round in which each was last told that it is readmitted.
-    granted: HashMap<String, u64>,
+    readmission_sent_in_round: HashMap<String, u64>,
     timing: Timing,
     /// Draws the election times.
     rng: SmallRng,
@@ -206,7 +206,7 @@
 
 impl RaftNode {
     pub fn new(
-        me: &str,
+        id: &str,
         hard: HardState,
         state: Bytes,
         log: Vec<RaftEntry>,
@@ -216,7 +216,7 @@
     ) -> RaftNode {
         let base = hard.base;
         let mut v = RaftNode {
-            me: me.into(),
+            id: id.into(),
             hard,
             state,
             digest: None,
@@ -227,40 +227,40 @@
             departing: HashSet::new(),
             log,
             voters: Vec::new(),
-            voters_at: 0,
+            voters_index: 0,
             learners: Vec::new(),
-            gone_back: HashMap::new(),
+            rewound_in_round: HashMap::new(),
             commit: base,
             applied: base,
             role: StateRole::Follower,
             leader: String::new(),
             // It may have heard a leader just before it ended: that one may still
             // count on this voter for an election time.
-            heard: now,
-            election_at: 0,
-            beat_at: 0,
+            leader_heard_at: now,
+            election_deadline: 0,
+            heartbeat_at: 0,
             votes: HashSet::new(),
-            blank: true,
-            blank_at: now,
-            blanks: HashMap::new(),
-            next: HashMap::new(),
-            matched: HashMap::new(),
-            answered: HashMap::new(),
-            reached: HashMap::new(),
-            sent: HashMap::new(),
+            leaderless_since_start: true,
+            startup_campaign_at: now,
+            startup_responses: HashMap::new(),
+            next_index: HashMap::new(),
+            match_index: HashMap::new(),
+            lease_acked_at: HashMap::new(),
+            reached_at: HashMap::new(),
+            sent_rounds: HashMap::new(),
             round: 0,
             probing: false,
-            born: now,
-            asks_as: (seed ^ now).max(1),
-            ballot: seed ^ now,
-            waiting: HashMap::new(),
-            granted: HashMap::new(),
+            started_at: now,
+            readmission_id: (seed ^ now).max(1),
+            campaign_id: seed ^ now,
+            awaiting_readmission: HashMap::new(),
+            readmission_sent_in_round: HashMap::new(),
             timing,
             rng: SmallRng::seed_from_u64(seed),
         };
-        v.count_voters();
-        v.wait_again(now);
-        v.wait_blank(now);
+        v.load_voters();
+        v.reset_election_timeout(now);
+        v.schedule_startup_campaign(now);
         v
     }
 
@@ -281,10 +281,10 @@
             }
             Event::ControlNodes(all) => {
                 let voters = &self.voters;
-                self.learners = all.into_iter().filter(|f| *f != self.me && !voters.contains(f)).collect();
-                let next = self.last().0 + 1;
+                self.learners = all.into_iter().filter(|f| *f != self.id && !voters.contains(f)).collect();
+                let next = self.last_index_and_term().0 + 1;
                 for l in &self.learners {
-                    self.next.entry(l.clone()).or_insert(next);
+                    self.next_index.entry(l.clone()).or_insert(next);
                 }
                 let (voters, learners) = (&self.voters, &self.learners);
                 self.outgoing.retain(|f, _| voters.contains(f) || learners.contains(f));
@@ -292,46 +292,51 @@
             Event::SetVoters(voters) => {
                 let added = voters.iter().filter(|v| !self.voters.contains(v)).count();
                 let removed = self.voters.iter().filter(|v| !voters.contains(v)).count();
-                if self.may_change_voters() && added + removed == 1 && voters.contains(&self.me) {
-                    self.append_with(now, Bytes::new(), voters, &mut out);
+                if self.may_change_voters() && added + removed == 1 && voters.contains(&self.id) {
+                    self.append_entry(now, Bytes::new(), voters, &mut out);
                 }
             }
-            Event::Snapshot { index, state } => self.cut(index, state, &mut out),
+            Event::Snapshot { index, state } => self.compact(index, state, &mut out),
         }
         out
     }
 
     fn tick(&mut self, now: u64, out: &mut Vec<Effect>) {
         if self.role == StateRole::Leader {
-            if self.contact(now) + 3 * self.timing.election < now {
+            if self.majority_contact(now) + 3 * self.timing.election < now {
                 self.become_follower(now, out);
-            } else if now >= self.beat_at {
-                self.broadcast(now, out);
+            } else if now >= self.heartbeat_at {
+                self.broadcast_append(now, out);
             }
-        } else if now >= self.election_at && self.is_voter() {
-            self.wait_again(now);
+        } else if now >= self.election_deadline && self.is_voter() {
+            self.reset_election_timeout(now);
             if self.hard.may_vote && !self.leaving {
                 self.campaign(now, true, false, out);
             }
-        } else if self.blank && now >= self.blank_at && self.is_voter() && self.hard.may_vote && !self.leaving {
+        } else if self.leaderless_since_start
+            && now >= self.startup_campaign_at
+            && self.is_voter()
+            && self.hard.may_vote
+            && !self.leaving
+        {
             // All may have ended at once: then nobody counts on a leader, and there is
             // nothing to wait for.
-            self.wait_blank(now + self.timing.election / 4);
+            self.schedule_startup_campaign(now + self.timing.election / 4);
             self.campaign(now, true, false, out);
         }
     }
 
     fn receive(&mut self, now: u64, m: RaftMessage, out: &mut Vec<Effect>) {
         let kind = RaftMessageKind::try_from(m.kind).unwrap_or(RaftMessageKind::None);
-        if !self.plausible(kind, &m) {
+        if !self.is_valid(kind, &m) {
             telemetry::count("raft_refused");
             return;
         }
         if kind == RaftMessageKind::RequestVote {
-            self.asked(now, m, out);
+            self.handle_vote_request(now, m, out);
             return;
         }
-        if kind == RaftMessageKind::Vote && m.round != self.ballot {
+        if kind == RaftMessageKind::Vote && m.round != self.campaign_id {
             // To an earlier campaign, perhaps of a former incarnation.
             telemetry::count("raft_late_votes");
             if m.term <= self.hard.term || m.pre_vote {
@@ -350,17 +355,17 @@
                     return;
                 }
                 if m.blank {
-                    self.blanks.insert(m.from.clone(), m.index > 0);
+                    self.startup_responses.insert(m.from.clone(), m.index > 0);
                 }
                 if m.ok {
                     self.votes.insert(m.from);
-                    self.count_votes(now, out);
+                    self.tally_votes(now, out);
                 }
-                let others: Vec<&String> = self.voters.iter().filter(|v| **v != self.me).collect();
-                let willing = others.iter().filter(|v| self.blanks.get(**v) == Some(&true)).count();
+                let others: Vec<&String> = self.voters.iter().filter(|v| **v != self.id).collect();
+                let willing = others.iter().filter(|v| self.startup_responses.get(**v) == Some(&true)).count();
                 if self.role == StateRole::PreCandidate
-                    && self.blank
-                    && others.iter().all(|v| self.blanks.contains_key(*v))
+                    && self.leaderless_since_start
+                    && others.iter().all(|v| self.startup_responses.contains_key(*v))
                     && willing + 1 >= self.majority()
                 {
                     // Every voter is in a new incarnation, the last leader among them.
@@ -379,16 +384,16 @@
             RaftMessageKind::Vote
                 if m.ok
                     && m.term == self.hard.term
-                    && m.round == self.ballot
-                    && now < self.election_at
+                    && m.round == self.campaign_id
+                    && now < self.election_deadline
                     && self.role == StateRole::Candidate =>
             {
                 self.votes.insert(m.from);
-                self.count_votes(now, out);
+                self.tally_votes(now, out);
             }
-            RaftMessageKind::Append | RaftMessageKind::InstallSnapshot => self.appended(now, m, kind, out),
-            RaftMessageKind::AppendAck => self.acked(now, m, out),
-            RaftMessageKind::SnapshotAck => self.snapshot_acked(now, m, out),
+            RaftMessageKind::Append | RaftMessageKind::InstallSnapshot => self.handle_append(now, m, kind, out),
+            RaftMessageKind::AppendAck => self.handle_append_response(now, m, out),
+            RaftMessageKind::SnapshotAck => self.handle_snapshot_response(now, m, out),
             RaftMessageKind::TimeoutNow
                 if m.term == self.hard.term && self.hard.may_vote && self.is_voter() && !self.leaving =>
             {
--- a/crates/raft/src/node/election.rs
+++ b/crates/raft/src/node/election.rs
@@ -4,14 +4,14 @@
 use rand::RngExt;
 
 impl RaftNode {
-    pub(super) fn wait_again(&mut self, now: u64) {
-        self.election_at = now + self.timing.election + self.rng.random_range(0..self.timing.election.max(1));
+    pub(super) fn reset_election_timeout(&mut self, now: u64) {
+        self.election_deadline = now + self.timing.election + self.rng.random_range(0..self.timing.election.max(1));
     }
 
     /// Draws when a node that has heard of no leader since its start asks for votes
     /// next: not before `from`.
-    pub(super) fn wait_blank(&mut self, from: u64) {
-        self.blank_at = from + self.rng.random_range(0..(self.timing.election / 2).max(1));
+    pub(super) fn schedule_startup_campaign(&mut self, from: u64) {
+        self.startup_campaign_at = from + self.rng.random_range(0..(self.timing.election / 2).max(1));
     }
 
     /// Of nodes that begin together and ask for pre-votes at one moment, the greatest by
@@ -21,53 +21,53 @@
     /// nobody, so this is a matter of speed and not of safety.
     fn defer_to_rival(&mut self, now: u64, m: &RaftMessage, newer: bool) {
         // Past the first election time a majority is enough, and the draws decide.
-        let all_are_asked = self.blank && now < self.heard + self.timing.election;
+        let all_are_asked = self.leaderless_since_start && now < self.leader_heard_at + self.timing.election;
         let undecided = matches!(self.role, StateRole::Follower | StateRole::PreCandidate);
         if !all_are_asked || !newer || !undecided {
             return;
         }
-        let (index, term) = self.last();
-        let own = (term, index, self.me.as_str());
+        let (index, term) = self.last_index_and_term();
+        let own = (term, index, self.id.as_str());
         let rival = (m.log_term, m.index, m.from.as_str());
         if self.role == StateRole::PreCandidate && own > rival {
             return;
         }
         self.role = StateRole::Follower;
-        self.wait_blank(now + self.timing.election / 2);
+        self.schedule_startup_campaign(now + self.timing.election / 2);
     }
 
-    pub(super) fn campaign(&mut self, now: u64, pre_vote: bool, named: bool, out: &mut Vec<Effect>) {
+    pub(super) fn campaign(&mut self, now: u64, pre_vote: bool, transferred: bool, out: &mut Vec<Effect>) {
         self.votes.clear();
-        self.votes.insert(self.me.clone());
-        self.ballot = self.ballot.wrapping_add(1).max(1);
-        let mut m = self.message(RaftMessageKind::RequestVote);
-        m.round = self.ballot;
+        self.votes.insert(self.id.clone());
+        self.campaign_id = self.campaign_id.wrapping_add(1).max(1);
+        let mut m = self.new_message(RaftMessageKind::RequestVote);
+        m.round = self.campaign_id;
         if pre_vote {
-            self.blanks.clear();
+            self.startup_responses.clear();
             self.role = StateRole::PreCandidate;
             m.term = self.hard.term + 1;
         } else {
             self.role = StateRole::Candidate;
             // Votes count until then and no longer: a voter that loses its disk may
             // forget its vote, and does not vote again before that.
-            self.wait_again(now);
-            self.wait_blank(now + self.timing.election / 2);
+            self.reset_election_timeout(now);
+            self.schedule_startup_campaign(now + self.timing.election / 2);
             self.hard.term += 1;
-            self.hard.voted_for = self.me.clone();
+            self.hard.voted_for = self.id.clone();
             self.leader.clear();
             out.push(Effect::Save(Save { hard: Some(self.hard.clone()), ..Save::default() }));
             m.term = self.hard.term;
         }
-        (m.index, m.log_term) = self.last();
+        (m.index, m.log_term) = self.last_index_and_term();
         m.pre_vote = pre_vote;
-        m.ok = named;
-        for v in self.voters.iter().filter(|v| **v != self.me) {
+        m.ok = transferred;
+        for v in self.voters.iter().filter(|v| **v != self.id) {
             out.push(Effect::Send(v.clone(), m.clone()));
         }
-        self.count_votes(now, out);
+        self.tally_votes(now, out);
     }
 
-    pub(super) fn count_votes(&mut self, now: u64, out: &mut Vec<Effect>) {
+    pub(super) fn tally_votes(&mut self, now: u64, out: &mut Vec<Effect>) {
         if self.votes.len() < self.majority() {
             return;
         }
@@ -75,27 +75,27 @@
             // One that just came back may have answered a leader right before it ended:
             // for as long as that counts, its own vote is no more to be had than for
             // others.
-            StateRole::PreCandidate if now < self.heard + self.timing.election => {}
+            StateRole::PreCandidate if now < self.leader_heard_at + self.timing.election => {}
             StateRole::PreCandidate => self.campaign(now, false, false, out),
             StateRole::Candidate => {
                 self.role = StateRole::Leader;
-                self.blank = false;
-                self.leader = self.me.clone();
-                let next = self.last().0 + 1;
-                self.gone_back.clear();
-                self.next = self.voters.iter().chain(&self.learners).map(|v| (v.clone(), next)).collect();
-                self.matched.clear();
+                self.leaderless_since_start = false;
+                self.leader = self.id.clone();
+                let next = self.last_index_and_term().0 + 1;
+                self.rewound_in_round.clear();
+                self.next_index = self.voters.iter().chain(&self.learners).map(|v| (v.clone(), next)).collect();
+                self.match_index.clear();
                 self.outgoing.clear();
-                self.sent.clear();
-                self.waiting.clear();
-                self.granted.clear();
-                self.answered = self.voters.iter().map(|v| (v.clone(), now)).collect();
-                self.reached = self.answered.clone();
+                self.sent_rounds.clear();
+                self.awaiting_readmission.clear();
+                self.readmission_sent_in_round.clear();
+                self.lease_acked_at = self.voters.iter().map(|v| (v.clone(), now)).collect();
+                self.reached_at = self.lease_acked_at.clone();
                 out.push(Effect::BecameLeader);
                 // An entry of its own term, so that older ones can count as held.
                 // It names the voters anew, for those who hold no earlier entry.
                 let voters = self.voters.clone();
-                self.append_with(now, Bytes::new(), voters, out);
+                self.append_entry(now, Bytes::new(), voters, out);
             }
             _ => {}
         }
@@ -108,33 +108,38 @@
         self.role = StateRole::Follower;
         self.leader.clear();
         self.outgoing.clear();
-        self.wait_again(now);
+        self.reset_election_timeout(now);
     }
 
     pub(super) fn step_down(&mut self, now: u64, out: &mut Vec<Effect>) {
         if self.role != StateRole::Leader {
             return;
         }
-        let best = self.voters.iter().filter(|v| **v != self.me && !self.waiting.contains_key(*v)).max_by_key(|v| {
-            let held = (self.matched.get(*v).copied().unwrap_or(0), self.answered.get(*v).copied().unwrap_or(0));
-            (!self.departing.contains(*v), held)
-        });
+        let best = self
+            .voters
+            .iter()
+            .filter(|v| **v != self.id && !self.awaiting_readmission.contains_key(*v))
+            .max_by_key(|v| {
+                let held =
+                    (self.match_index.get(*v).copied().unwrap_or(0), self.lease_acked_at.get(*v).copied().unwrap_or(0));
+                (!self.departing.contains(*v), held)
+            });
         if let Some(to) = best.cloned() {
-            let m = self.message(RaftMessageKind::TimeoutNow);
+            let m = self.new_message(RaftMessageKind::TimeoutNow);
             out.push(Effect::Send(to, m));
         }
         self.become_follower(now, out);
-        self.election_at = now + 8 * self.timing.election;
+        self.election_deadline = now + 8 * self.timing.election;
     }
 
-    pub(super) fn asked(&mut self, now: u64, m: RaftMessage, out: &mut Vec<Effect>) {
-        let followed = self.role == StateRole::Leader || now < self.heard + self.timing.election;
-        let mut r = self.message(RaftMessageKind::Vote);
+    pub(super) fn handle_vote_request(&mut self, now: u64, m: RaftMessage, out: &mut Vec<Effect>) {
+        let followed = self.role == StateRole::Leader || now < self.leader_heard_at + self.timing.election;
+        let mut r = self.new_message(RaftMessageKind::Vote);
         r.pre_vote = m.pre_vote;
         r.round = m.round;
-        let newer = (m.log_term, m.index) >= (self.last().1, self.last().0);
+        let newer = (m.log_term, m.index) >= (self.last_index_and_term().1, self.last_index_and_term().0);
         let known = self.voters.contains(&m.from);
-        if !known && (m.log_term, m.index) <= (self.last().1, self.last().0) {
+        if !known && (m.log_term, m.index) <= (self.last_index_and_term().1, self.last_index_and_term().0) {
             telemetry::count("raft_strangers");
             return;
         }
@@ -144,7 +149,7 @@
             self.defer_to_rival(now, &m, newer);
             r.term = m.term;
             r.ok = !followed && newer && m.term > self.hard.term && self.hard.may_vote;
-            r.blank = self.blank && self.role != StateRole::Leader;
+            r.blank = self.leaderless_since_start && self.role != StateRole::Leader;
             r.index = u64::from(newer && self.hard.may_vote);
             r.log_term = self.hard.term;
             out.push(Effect::Send(m.from, r));
@@ -163,8 +168,8 @@
         r.ok = m.term == self.hard.term && free && newer && self.hard.may_vote;
         if r.ok {
             self.hard.voted_for = m.from.clone();
-            self.wait_again(now);
-            self.wait_blank(now + self.timing.election / 2);
+            self.reset_election_timeout(now);
+            self.schedule_startup_campaign(now + self.timing.election / 2);
         }
         out.push(Effect::Save(Save { hard: Some(self.hard.clone()), ..Save::default() }));
         out.push(Effect::Send(m.from, r));
--- a/crates/raft/src/node/log.rs
+++ b/crates/raft/src/node/log.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl RaftNode {
-    pub(super) fn last(&self) -> (u64, u64) {
+    pub(super) fn last_index_and_term(&self) -> (u64, u64) {
         self.log.last().map_or((self.hard.base, self.hard.base_term), |e| (e.index, e.term))
     }
 
@@ -37,38 +37,38 @@
         if self.role != StateRole::Leader {
             return Vec::new();
         }
-        let others = self.voters.iter().chain(&self.learners).filter(|f| **f != self.me);
-        let held = |f: &String| self.matched.get(f).copied().unwrap_or(0);
+        let others = self.voters.iter().chain(&self.learners).filter(|f| **f != self.id);
+        let held = |f: &String| self.match_index.get(f).copied().unwrap_or(0);
         others.map(|f| (f.clone(), self.commit.saturating_sub(held(f)))).collect()
     }
 
     pub(super) fn append(&mut self, now: u64, data: Bytes, out: &mut Vec<Effect>) {
-        self.append_with(now, data, Vec::new(), out);
+        self.append_entry(now, data, Vec::new(), out);
     }
 
-    pub(super) fn append_with(&mut self, now: u64, data: Bytes, voters: Vec<String>, out: &mut Vec<Effect>) {
-        let e = RaftEntry { index: self.last().0 + 1, term: self.hard.term, data, voters };
+    pub(super) fn append_entry(&mut self, now: u64, data: Bytes, voters: Vec<String>, out: &mut Vec<Effect>) {
+        let e = RaftEntry { index: self.last_index_and_term().0 + 1, term: self.hard.term, data, voters };
         out.push(Effect::Proposed(e.index, e.term));
         if !e.voters.is_empty() {
             // In force from here on, committed or not.
             self.learners.retain(|l| !e.voters.contains(l));
-            (self.voters, self.voters_at) = (e.voters.clone(), e.index);
+            (self.voters, self.voters_index) = (e.voters.clone(), e.index);
         }
         self.log.push(e.clone());
         // Others are told first: their disks work while this one does.
-        self.broadcast(now, out);
+        self.broadcast_append(now, out);
         out.push(Effect::Save(Save { put: vec![e], ..Save::default() }));
-        self.advance(out);
+        self.advance_commit(out);
     }
 
-    pub(super) fn advance(&mut self, out: &mut Vec<Effect>) {
+    pub(super) fn advance_commit(&mut self, out: &mut Vec<Effect>) {
         if self.role == StateRole::Leader {
-            let last = self.last().0;
+            let last = self.last_index_and_term().0;
             let mut held: Vec<u64> = self
                 .voters
                 .iter()
-                .filter(|v| self.counts(v))
-                .map(|v| if *v == self.me { last } else { self.matched.get(v).copied().unwrap_or(0) })
+                .filter(|v| self.counts_toward_quorum(v))
+                .map(|v| if *v == self.id { last } else { self.match_index.get(v).copied().unwrap_or(0) })
                 .collect();
             held.sort_unstable_by(|a, b| b.cmp(a));
             let n = held.get(self.majority() - 1).copied().unwrap_or(0);
@@ -76,7 +76,7 @@
                 self.commit = n;
                 // The others are told with the next tick and not the next beat: what
                 // is committed may be a new owner, and its own control node tells it.
-                self.beat_at = 0;
+                self.heartbeat_at = 0;
             }
         }
         while self.applied < self.commit {
--- a/crates/raft/src/node/membership.rs
+++ b/crates/raft/src/node/membership.rs
@@ -5,9 +5,9 @@
 
 impl RaftNode {
     /// Who votes, by the newest entry that says so.
-    pub(super) fn count_voters(&mut self) {
+    pub(super) fn load_voters(&mut self) {
         let found = self.log.iter().rev().find(|e| !e.voters.is_empty());
-        (self.voters, self.voters_at) =
+        (self.voters, self.voters_index) =
             found.map_or_else(|| (self.hard.voters.clone(), self.hard.base), |e| (e.voters.clone(), e.index));
     }
 
@@ -17,7 +17,7 @@
 
     /// Whether the voters that are in force are committed.
     pub fn voters_settled(&self) -> bool {
-        self.voters_at <= self.commit
+        self.voters_index <= self.commit
     }
 
     /// The control nodes that are about to end: their votes pass on where a replacement
@@ -29,8 +29,8 @@
     /// Whether a control node without a vote could have one: it holds what is
     /// committed, and has not forgotten what it voted_for before.
     pub fn could_vote(&self, control: &str, now: u64) -> bool {
-        self.matched.get(control).is_some_and(|m| *m >= self.commit)
-            && !self.waiting.contains_key(control)
+        self.match_index.get(control).is_some_and(|m| *m >= self.commit)
+            && !self.awaiting_readmission.contains_key(control)
             && self.last_answer(control) + self.timing.election > now
     }
 
@@ -49,13 +49,13 @@
         if !self.may_change_voters() {
             return None;
         }
-        let lost = |v: &String| *v != self.me && (self.last_answer(v) + away < now || self.departing.contains(v));
+        let lost = |v: &String| *v != self.id && (self.last_answer(v) + away < now || self.departing.contains(v));
         let longest = self.voters.iter().filter(|v| lost(v)).min_by_key(|v| self.last_answer(v));
         if self.voters.len() > wanted {
             // Whoever is about to end goes first: it is there only until then.
-            let ending = self.voters.iter().find(|v| **v != self.me && self.departing.contains(*v));
+            let ending = self.voters.iter().find(|v| **v != self.id && self.departing.contains(*v));
             let longest = ending.or(longest);
-            let out = longest.or(self.voters.iter().rfind(|v| **v != self.me))?;
+            let out = longest.or(self.voters.iter().rfind(|v| **v != self.id))?;
             return Some(self.voters.iter().filter(|v| *v != out).cloned().collect());
         }
         if self.voters.len() == wanted && longest.is_none() {
@@ -74,7 +74,7 @@
     /// leader has committed an entry of its own.
     pub fn may_change_voters(&self) -> bool {
         self.role == StateRole::Leader
-            && self.voters_at <= self.commit
+            && self.voters_index <= self.commit
             && self.term_at(self.commit) == Some(self.hard.term)
     }
 
@@ -83,28 +83,29 @@
     }
 
     pub(super) fn is_voter(&self) -> bool {
-        self.voters.contains(&self.me)
+        self.voters.contains(&self.id)
     }
 
     /// Whether what a voter says counts towards a majority. One that lost its disk may
     /// have forgotten a newer leader: it follows, but stands for nothing.
-    pub(super) fn counts(&self, voter: &str) -> bool {
-        !self.waiting.contains_key(voter)
+    pub(super) fn counts_toward_quorum(&self, voter: &str) -> bool {
+        !self.awaiting_readmission.contains_key(voter)
     }
 
     /// One that lost its disk votes again once it holds the whole log, and every
     /// other voter that a majority needs has followed this leader since it asked:
     /// no vote or entry that it forgot can matter then.
-    pub(super) fn readmit(&mut self, now: u64, m: &RaftMessage, out: &mut Vec<Effect>) {
-        let since = self.waiting.get(&m.from).copied().unwrap_or(now);
-        let vouches =
-            |v: &&String| **v == self.me || (self.counts(v) && self.answered.get(*v).is_some_and(|a| *a > since));
+    pub(super) fn readmit_voter(&mut self, now: u64, m: &RaftMessage, out: &mut Vec<Effect>) {
+        let since = self.awaiting_readmission.get(&m.from).copied().unwrap_or(now);
+        let vouches = |v: &&String| {
+            **v == self.id || (self.counts_toward_quorum(v) && self.lease_acked_at.get(*v).is_some_and(|a| *a > since))
+        };
         let others = self.voters.iter().filter(vouches).count();
         // Once a round: it may have to wait for longer than an answer takes.
-        let told = self.granted.get(&m.from).is_some_and(|r| m.round <= *r);
+        let told = self.readmission_sent_in_round.get(&m.from).is_some_and(|r| m.round <= *r);
         if m.index >= self.commit && others >= self.majority() && !told {
-            self.granted.insert(m.from.clone(), self.round);
-            let mut r = self.message(RaftMessageKind::Append);
+            self.readmission_sent_in_round.insert(m.from.clone(), self.round);
+            let mut r = self.new_message(RaftMessageKind::Append);
             r.readmit = true;
             // To the incarnation that asked, and to no later one of the same disk.
             r.offset = m.offset;
--- a/crates/raft/src/node/message.rs
+++ b/crates/raft/src/node/message.rs
@@ -3,17 +3,17 @@
 use super::*;
 
 impl RaftNode {
-    pub(super) fn message(&self, kind: RaftMessageKind) -> RaftMessage {
-        RaftMessage { from: self.me.clone(), term: self.hard.term, kind: kind as i32, ..RaftMessage::default() }
+    pub(super) fn new_message(&self, kind: RaftMessageKind) -> RaftMessage {
+        RaftMessage { from: self.id.clone(), term: self.hard.term, kind: kind as i32, ..RaftMessage::default() }
     }
 
     /// Whether a message can be one of a control node that works as this one does. What is
     /// not changes nothing here, whatever it says.
-    pub(super) fn plausible(&self, kind: RaftMessageKind, m: &RaftMessage) -> bool {
+    pub(super) fn is_valid(&self, kind: RaftMessageKind, m: &RaftMessage) -> bool {
         let known = |index: u64| index < u64::MAX / 2;
         let voters = |v: &[String]| {
             let different: HashSet<&String> = v.iter().collect();
-            v.len() <= MOST_VOTERS && different.len() == v.len() && v.iter().all(|n| !n.is_empty())
+            v.len() <= MAX_VOTERS && different.len() == v.len() && v.iter().all(|n| !n.is_empty())
         };
         let entries = || {
             let (mut index, mut term) = (m.index, m.log_term);
@@ -24,7 +24,10 @@
                 follows && (e.index > self.commit || e.index <= self.hard.base || self.term_at(e.index) == Some(e.term))
             })
         };
-        if m.from.is_empty() || m.from == self.me || m.term == 0 || m.term.max(m.log_term) > self.hard.term + TERM_LEAP
+        if m.from.is_empty()
+            || m.from == self.id
+            || m.term == 0
+            || m.term.max(m.log_term) > self.hard.term + MAX_TERM_JUMP
         {
             return false;
         }
@@ -46,7 +49,7 @@
                 !another && whole && entries()
             }
             RaftMessageKind::AppendAck => {
-                m.term != self.hard.term || self.role != StateRole::Leader || m.index <= self.last().0
+                m.term != self.hard.term || self.role != StateRole::Leader || m.index <= self.last_index_and_term().0
             }
         }
     }
--- a/crates/raft/src/node/snapshot.rs
+++ b/crates/raft/src/node/snapshot.rs
@@ -16,13 +16,16 @@
 
     /// One piece of a snapshot; once that is sent, an empty one as a beat, which the
     /// other side answers with what it holds.
-    pub(super) fn send_piece(&mut self, to: &str, mut m: RaftMessage, out: &mut Vec<Effect>) {
+    pub(super) fn send_snapshot_chunk(&mut self, to: &str, mut m: RaftMessage, out: &mut Vec<Effect>) {
         if !self.outgoing.contains_key(to) {
-            let digest = self.digest.get_or_insert_with(|| digest_of(&self.state)).clone();
+            let digest = self.digest.get_or_insert_with(|| sha256(&self.state)).clone();
             let (index, term) = (self.hard.base, self.hard.base_term);
             let (voters, state) = (self.hard.voters.clone(), self.state.clone());
             telemetry::count("raft_snapshots_sent");
-            self.outgoing.insert(to.into(), Outgoing { index, term, voters, state, digest, held: 0, sent: 0 });
+            self.outgoing.insert(
+                to.into(),
+                OutgoingSnapshot { index, term, voters, state, digest, acked_bytes: 0, sent_in_round: 0 },
+            );
         }
         let round = self.round;
         let Some(o) = self.outgoing.get_mut(to) else { return };
@@ -30,24 +33,24 @@
         (m.index, m.log_term) = (o.index, o.term);
         m.voters.clone_from(&o.voters);
         m.digest = o.digest.clone();
-        (m.offset, m.total) = (o.held, o.state.len() as u64);
-        if o.sent == 0 {
-            let from = o.held as usize;
-            m.state = o.state.slice(from..(from + APPEND_BYTES).min(o.state.len()));
-            o.sent = round;
+        (m.offset, m.total) = (o.acked_bytes, o.state.len() as u64);
+        if o.sent_in_round == 0 {
+            let from = o.acked_bytes as usize;
+            m.state = o.state.slice(from..(from + MAX_APPEND_BYTES).min(o.state.len()));
+            o.sent_in_round = round;
         }
         out.push(Effect::Send(to.into(), m));
     }
 
     /// What the other side holds of the snapshot on its way to it.
-    pub(super) fn snapshot_acked(&mut self, now: u64, m: RaftMessage, out: &mut Vec<Effect>) {
+    pub(super) fn handle_snapshot_response(&mut self, now: u64, m: RaftMessage, out: &mut Vec<Effect>) {
         if self.role != StateRole::Leader || m.term != self.hard.term {
             return;
         }
         if m.readmit {
-            self.waiting.entry(m.from.clone()).or_insert(now);
+            self.awaiting_readmission.entry(m.from.clone()).or_insert(now);
         }
-        self.hear_answer(now, &m);
+        self.record_response(now, &m);
         let Some(o) = self.outgoing.get_mut(&m.from).filter(|o| o.index == m.index) else { return };
         if m.offset > o.state.len() as u64 {
             telemetry::count("raft_refused");
@@ -55,29 +58,30 @@
         }
         // Frames of one connection come in order: what was asked later than the piece
         // was sent, and is answered without it, was answered by one that lost it.
-        if m.offset > o.held || (o.sent > 0 && m.round > o.sent) {
-            o.held = m.offset;
-            o.sent = 0;
-            let mut next = self.message(RaftMessageKind::InstallSnapshot);
+        if m.offset > o.acked_bytes || (o.sent_in_round > 0 && m.round > o.sent_in_round) {
+            o.acked_bytes = m.offset;
+            o.sent_in_round = 0;
+            let mut next = self.new_message(RaftMessageKind::InstallSnapshot);
             next.round = self.round;
             next.probe = self.probing;
             next.commit = self.commit;
-            self.send_piece(&m.from, next, out);
+            self.send_snapshot_chunk(&m.from, next, out);
         }
     }
 
     /// Takes one piece of a snapshot; the whole, if this was the last one.
-    pub(super) fn take_piece(&mut self, m: &RaftMessage) -> Option<Bytes> {
+    pub(super) fn receive_snapshot_chunk(&mut self, m: &RaftMessage) -> Option<Bytes> {
         let end = m.offset.checked_add(m.state.len() as u64);
         if m.total > self.snapshot_limit || m.digest.len() != 32 || end.is_none_or(|e| e > m.total) {
             telemetry::count("raft_refused");
             return None;
         }
-        let same =
-            |i: &Incoming| i.index == m.index && i.term == m.log_term && i.total == m.total && i.digest == m.digest;
+        let same = |i: &IncomingSnapshot| {
+            i.index == m.index && i.term == m.log_term && i.total == m.total && i.digest == m.digest
+        };
         if !self.incoming.as_ref().is_some_and(same) {
             let (index, term, digest, total) = (m.index, m.log_term, m.digest.clone(), m.total);
-            self.incoming = Some(Incoming { index, term, digest, total, state: Vec::new() });
+            self.incoming = Some(IncomingSnapshot { index, term, digest, total, state: Vec::new() });
         }
         let i = self.incoming.as_mut()?;
         if m.offset == i.state.len() as u64 {
@@ -87,14 +91,14 @@
             return None;
         }
         let whole = self.incoming.take()?;
-        if digest_of(&whole.state) != whole.digest {
+        if sha256(&whole.state) != whole.digest {
             telemetry::count("raft_snapshots_refused");
             return None;
         }
         Some(whole.state.into())
     }
 
-    pub(super) fn cut(&mut self, index: u64, state: Bytes, out: &mut Vec<Effect>) {
+    pub(super) fn compact(&mut self, index: u64, state: Bytes, out: &mut Vec<Effect>) {
         if index <= self.hard.base || index > self.applied {
             return;
         }
