--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -1,5 +1,5 @@
-//! The control nodes' log, held by a majority. A state machine without I/O: the
-//! shell carries out its effects in the order given.
+//! The Raft state machine of one control node, without I/O: the caller carries out the
+//! effects in the order in which they are returned.
 
 mod election;
 mod lease;
@@ -15,29 +15,31 @@
 use rpc::messages::{RaftEntry, RaftMessage, RaftMessageKind};
 use std::collections::{HashMap, HashSet};
 
-/// Bytes of entries that go in one message, unless one alone is larger; also those
-/// of one piece of a snapshot.
+/// Limit on the bytes of entries in one message, which a single larger entry may exceed,
+/// and the size of a snapshot chunk.
 const MAX_APPEND_BYTES: usize = rpc::FRAME_LIMIT / 4;
-/// No message is further than that many terms ahead of what is known here.
+/// Messages whose term exceeds the local one by more than this are rejected.
 const MAX_TERM_JUMP: u64 = 1 << 32;
-/// More voters than any settings ask for.
+/// Upper bound on the number of voters in a message; larger than any configured number.
 const MAX_VOTERS: usize = 63;
 
 pub enum Event {
     Tick,
     Message(RaftMessage),
-    /// Adds an entry; only while leading.
+    /// Appends an entry; ignored unless this node is the leader.
     Propose(Bytes),
-    /// Name a successor and stop leading, as when the disk does not answer.
+    /// Hands leadership to a successor and steps down, for instance because the disk does
+    /// not respond.
     StepDown,
-    /// This process is told to end: it names a successor, and does not campaign again
-    /// in this incarnation. It votes as long as it runs; nothing of it goes to the disk.
+    /// The process is shutting down: transfers leadership if it has it, and does not campaign
+    /// again in this incarnation. It still votes until it exits. Nothing about this is stored.
     Leave,
-    /// The control nodes whose sessions stand: those without a vote are kept up to date.
+    /// The control nodes with a live session. Those that are not voters become learners.
     ControlNodes(Vec<String>),
-    /// Add or remove one voter; only while leading, and one change at a time.
+    /// Adds or removes one voter. Ignored unless this node is the leader and the previous
+    /// change is committed.
     SetVoters(Vec<String>),
-    /// The shell's state as of `index`, to cut the log with.
+    /// The applied state as of `index`, up to which the log is compacted.
     Snapshot {
         index: u64,
         state: Bytes,
@@ -50,15 +52,15 @@
     Save(Save),
     Send(String, RaftMessage),
     Apply(RaftEntry),
-    /// Replace the whole state.
+    /// Replaces the whole applied state.
     Restore(Bytes),
-    /// The proposal just made has this index and term.
+    /// Index and term assigned to the entry that was just appended.
     Proposed(u64, u64),
     BecameLeader,
     SteppedDown,
 }
 
-/// What the disk keeps about votes.
+/// Durable state besides the log and the snapshot.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct HardState {
     #[prost(uint64, tag = "1")]
@@ -67,7 +69,7 @@
     pub voted_for: String,
     #[prost(bool, tag = "3")]
     pub may_vote: bool,
-    /// The voters as of `base`; later entries of the log may change them.
+    /// The voters as of `base`; later log entries may change them.
     #[prost(string, repeated, tag = "4")]
     pub voters: Vec<String>,
     #[prost(uint64, tag = "5")]
@@ -79,10 +81,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Save {
     pub hard: Option<HardState>,
-    /// The whole state as of `hard.base`.
+    /// The snapshot as of `hard.base`.
     pub state: Option<Bytes>,
     pub put: Vec<RaftEntry>,
-    /// Remove all entries from here to there.
+    /// Inclusive range of entries to delete.
     pub del: Option<(u64, u64)>,
 }
 
@@ -94,15 +96,15 @@
     Leader,
 }
 
-/// Bounds of the state machine's clock, in milliseconds.
+/// Heartbeat interval and minimum election timeout, in milliseconds.
 #[derive(Clone, Copy)]
 pub struct Timing {
     pub beat: u64,
     pub election: u64,
 }
 
-/// A snapshot on its way to one that lacks it. It is the one with which the sending
-/// began, also when the leader has a newer one by now.
+/// A snapshot transfer to one follower. It stays with the snapshot with which it began,
+/// even if the leader has a newer one by now.
 #[derive(Clone)]
 struct OutgoingSnapshot {
     index: u64,
@@ -110,13 +112,13 @@
     voters: Vec<String>,
     state: Bytes,
     digest: Bytes,
-    /// How many bytes the other side said that it holds.
+    /// Bytes that the follower has acknowledged.
     acked_bytes: u64,
-    /// The round in which the piece from there was sent; 0: not yet.
+    /// Round in which the chunk at `acked_bytes` was sent; 0 if it was not sent yet.
     sent_in_round: u64,
 }
 
-/// A snapshot of which some pieces have come. It changes nothing before it is whole.
+/// A partially received snapshot. It has no effect until it is complete.
 #[derive(Clone)]
 struct IncomingSnapshot {
     index: u64,
@@ -126,14 +128,14 @@
     state: Vec<u8>,
 }
 
-/// A round of appends as its leader remembers it, to date the answers to it.
+/// When the leader sent a round of appends, so that a response extends the lease from the
+/// time of sending.
 #[derive(Clone, Copy)]
 struct SentRound {
     at: u64,
     probe: bool,
 }
 
-/// SHA-256 of a snapshot.
 fn sha256(state: &[u8]) -> Bytes {
     use sha2::Digest;
     Bytes::copy_from_slice(&sha2::Sha256::digest(state))
@@ -144,25 +146,25 @@
     id: String,
     pub hard: HardState,
     state: Bytes,
-    /// Of the snapshot, once somebody wanted it.
+    /// SHA-256 of the snapshot, computed when it is first sent.
     digest: Option<Bytes>,
     outgoing: HashMap<String, OutgoingSnapshot>,
     incoming: Option<IncomingSnapshot>,
-    /// The largest snapshot that is taken, in bytes.
+    /// Largest snapshot accepted from a leader, in bytes.
     snapshot_limit: u64,
-    /// Told to end: does not campaign any more.
+    /// Shutting down: does not campaign any more.
     leaving: bool,
-    /// Control nodes that said that they are about to end.
+    /// Control nodes that announced their shutdown.
     departing: HashSet<String>,
     log: Vec<RaftEntry>,
-    /// The voters that the newest entry about them names, committed or not, and
-    /// that entry's index.
+    /// The voters by the latest configuration entry, committed or not, and the index of that
+    /// entry.
     voters: Vec<String>,
     voters_index: u64,
-    /// Control nodes without a vote that are kept up to date.
+    /// Control nodes that receive the log but do not vote.
     learners: Vec<String>,
-    /// The round in which another one's log was last gone back for: refusals of what
-    /// was sent before then are answered already.
+    /// Round in which `next_index` of a follower was last moved back after a rejection.
+    /// Rejections of earlier rounds are ignored, as the entries are already sent again.
     rewound_in_round: HashMap<String, u64>,
     pub commit: u64,
     applied: u64,
@@ -172,35 +174,37 @@
     election_deadline: u64,
     heartbeat_at: u64,
     votes: HashSet<String>,
-    /// Has heard of no leader since this process began.
+    /// No leader has been known since this process started.
     leaderless_since_start: bool,
-    /// When it asks for votes next, while that holds.
+    /// When to start the next pre-vote while `leaderless_since_start` holds.
     startup_campaign_at: u64,
-    /// Voters that said the same in answer to a pre_vote, and whether they would
-    /// elect this one.
+    /// Voters that answered a pre-vote and have known no leader since they started either,
+    /// and whether they would vote for this node.
     startup_responses: HashMap<String, bool>,
     next_index: HashMap<String, u64>,
     match_index: HashMap<String, u64>,
-    /// When the round was sent that a voter has answered last.
+    /// Per follower: when the latest round that it answered was sent, without probes. The
+    /// lease is computed from these times.
     lease_acked_at: HashMap<String, u64>,
-    /// As `answered`, probes included: says who is reached, and extends no lease.
+    /// As `lease_acked_at`, but with probes: shows who is reachable and extends no lease.
     reached_at: HashMap<String, u64>,
     sent_rounds: HashMap<u64, SentRound>,
     round: u64,
-    /// Whether the current round is a probe, which keeps no follower from electing.
+    /// Whether the current round is a probe, which does not reset election timeouts.
     probing: bool,
-    /// When this process began.
+    /// Start of this process.
     started_at: u64,
-    /// Names this incarnation where it asks to be readmitted.
+    /// Identifies this incarnation in requests for readmission as a voter.
     readmission_id: u64,
-    /// Tells the answers to one campaign from those to another.
+    /// Identifies the current campaign, so that responses to earlier ones are recognised.
     campaign_id: u64,
-    /// Who waits to be readmitted, and when that was first heard.
+    /// Nodes that lost their disk and are not readmitted as voters yet, with the time of
+    /// their first request.
     awaiting_readmission: HashMap<String, u64>,
-    /// The round in which each was last told that it is readmitted.
+    /// Round in which each node was last sent its readmission.
     readmission_sent_in_round: HashMap<String, u64>,
     timing: Timing,
-    /// Draws the election times.
+    /// Source of the random part of election timeouts.
     rng: SmallRng,
 }
 
@@ -234,8 +238,8 @@
             applied: base,
             role: StateRole::Follower,
             leader: String::new(),
-            // It may have heard a leader just before it ended: that one may still
-            // count on this voter for an election time.
+            // The previous incarnation may have acknowledged a leader just before it ended,
+            // and that leader's lease may rest on this voter for one election timeout.
             leader_heard_at: now,
             election_deadline: 0,
             heartbeat_at: 0,
@@ -319,8 +323,7 @@
             && self.hard.may_vote
             && !self.leaving
         {
-            // All may have ended at once: then nobody counts on a leader, and there is
-            // nothing to wait for.
+            // If all nodes restarted at once, no lease is left to wait out.
             self.schedule_startup_campaign(now + self.timing.election / 4);
             self.campaign(now, true, false, out);
         }
@@ -337,7 +340,7 @@
             return;
         }
         if kind == RaftMessageKind::Vote && m.round != self.campaign_id {
-            // To an earlier campaign, perhaps of a former incarnation.
+            // Response to an earlier campaign, perhaps of a previous incarnation.
             telemetry::count("raft_late_votes");
             if m.term <= self.hard.term || m.pre_vote {
                 return;
@@ -346,8 +349,8 @@
         if m.pre_vote {
             if self.role == StateRole::PreCandidate && m.term == self.hard.term + 1 {
                 if !m.ok && m.log_term > self.hard.term {
-                    // With the lower one it would be refused by this voter for ever, and
-                    // may be the only one whose log a majority can follow.
+                    // Adopt the higher term: this voter rejects any lower one, and this node
+                    // may be the only one whose log is recent enough to win a majority.
                     self.hard.term = m.log_term;
                     self.hard.voted_for.clear();
                     out.push(Effect::Save(Save { hard: Some(self.hard.clone()), ..Save::default() }));
@@ -368,7 +371,8 @@
                     && others.iter().all(|v| self.startup_responses.contains_key(*v))
                     && willing + 1 >= self.majority()
                 {
-                    // Every voter is in a new incarnation, the last leader among them.
+                    // Every voter, the last leader included, has restarted: no lease is
+                    // left, so the election need not wait.
                     self.campaign(now, false, true, out);
                 }
             }
