--- a/crates/raft/src/node/election.rs
+++ b/crates/raft/src/node/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes, votes, election times, and how a leader steps down.
+//! Elections: pre-votes, votes, election timeouts and leadership transfer.
 
 use super::*;
 use rand::RngExt;
@@ -8,22 +8,23 @@
         self.election_deadline = now + self.timing.election + self.rng.random_range(0..self.timing.election.max(1));
     }
 
-    /// Draws when a node that has heard of no leader since its start asks for votes
-    /// next: not before `from`.
+    /// Draws the time of the next pre-vote of a node that has known no leader since it
+    /// started, at the earliest at `from`.
     pub(super) fn schedule_startup_campaign(&mut self, from: u64) {
         self.startup_campaign_at = from + self.rng.random_range(0..(self.timing.election / 2).max(1));
     }
 
-    /// Of nodes that begin together and ask for pre-votes at one moment, the greatest by
-    /// log and name goes on. Links keep their order, and one that begins together with
-    /// the others wants an answer of each of them: so a rival's question is seen before
-    /// the rival's answer, and two of them don't campaign at once. Pre-votes bind
-    /// nobody, so this is a matter of speed and not of safety.
-    fn defer_to_rival(&mut self, now: u64, m: &RaftMessage, newer: bool) {
-        // Past the first election time a majority is enough, and the draws decide.
+    /// Breaks ties between nodes that start together and request pre-votes at the same time:
+    /// the greatest by log position and name continues. In that phase a candidate needs a
+    /// response from every voter, and links preserve order, so it sees a rival's request
+    /// before the rival's response, and two of them do not campaign at once. Pre-votes are
+    /// not binding, so this affects the duration of an election and not safety.
+    fn defer_to_rival(&mut self, now: u64, m: &RaftMessage, log_up_to_date: bool) {
+        // After the first election timeout a majority suffices, and the random timeouts
+        // separate candidates.
         let all_are_asked = self.leaderless_since_start && now < self.leader_heard_at + self.timing.election;
         let undecided = matches!(self.role, StateRole::Follower | StateRole::PreCandidate);
-        if !all_are_asked || !newer || !undecided {
+        if !all_are_asked || !log_up_to_date || !undecided {
             return;
         }
         let (index, term) = self.last_index_and_term();
@@ -48,8 +49,8 @@
             m.term = self.hard.term + 1;
         } else {
             self.role = StateRole::Candidate;
-            // Votes count until then and no longer: a voter that loses its disk may
-            // forget its vote, and does not vote again before that.
+            // Votes are counted until this deadline only. A voter that loses its disk and
+            // with it its vote does not vote again before the deadline has passed.
             self.reset_election_timeout(now);
             self.schedule_startup_campaign(now + self.timing.election / 2);
             self.hard.term += 1;
@@ -72,9 +73,9 @@
             return;
         }
         match self.role {
-            // One that just came back may have answered a leader right before it ended:
-            // for as long as that counts, its own vote is no more to be had than for
-            // others.
+            // A node that just restarted may have acknowledged a leader right before it
+            // ended. While that leader's lease may last, it votes for nobody, itself
+            // included.
             StateRole::PreCandidate if now < self.leader_heard_at + self.timing.election => {}
             StateRole::PreCandidate => self.campaign(now, false, false, out),
             StateRole::Candidate => {
@@ -92,8 +93,9 @@
                 self.lease_acked_at = self.voters.iter().map(|v| (v.clone(), now)).collect();
                 self.reached_at = self.lease_acked_at.clone();
                 out.push(Effect::BecameLeader);
-                // An entry of its own term, so that older ones can count as held.
-                // It names the voters anew, for those who hold no earlier entry.
+                // An entry of the new term, with which entries of earlier terms are
+                // committed. It repeats the voters for nodes that have no earlier
+                // configuration entry.
                 let voters = self.voters.clone();
                 self.append_entry(now, Bytes::new(), voters, out);
             }
@@ -133,29 +135,29 @@
     }
 
     pub(super) fn handle_vote_request(&mut self, now: u64, m: RaftMessage, out: &mut Vec<Effect>) {
-        let followed = self.role == StateRole::Leader || now < self.leader_heard_at + self.timing.election;
+        let leader_active = self.role == StateRole::Leader || now < self.leader_heard_at + self.timing.election;
         let mut r = self.new_message(RaftMessageKind::Vote);
         r.pre_vote = m.pre_vote;
         r.round = m.round;
-        let newer = (m.log_term, m.index) >= (self.last_index_and_term().1, self.last_index_and_term().0);
+        let log_up_to_date = (m.log_term, m.index) >= (self.last_index_and_term().1, self.last_index_and_term().0);
         let known = self.voters.contains(&m.from);
         if !known && (m.log_term, m.index) <= (self.last_index_and_term().1, self.last_index_and_term().0) {
             telemetry::count("raft_strangers");
             return;
         }
-        // One with a newer log may be a voter by an entry that is not here yet. It is
-        // given a vote like any other, but nobody named it a successor.
+        // An unknown candidate with a newer log may be a voter by an entry that this node
+        // lacks. It can get a vote, but a leadership transfer to it is not honoured.
         if m.pre_vote {
-            self.defer_to_rival(now, &m, newer);
+            self.defer_to_rival(now, &m, log_up_to_date);
             r.term = m.term;
-            r.ok = !followed && newer && m.term > self.hard.term && self.hard.may_vote;
+            r.ok = !leader_active && log_up_to_date && m.term > self.hard.term && self.hard.may_vote;
             r.blank = self.leaderless_since_start && self.role != StateRole::Leader;
-            r.index = u64::from(newer && self.hard.may_vote);
+            r.index = u64::from(log_up_to_date && self.hard.may_vote);
             r.log_term = self.hard.term;
             out.push(Effect::Send(m.from, r));
             return;
         }
-        if followed && !(m.ok && known) {
+        if leader_active && !(m.ok && known) {
             return;
         }
         if m.term > self.hard.term {
@@ -164,8 +166,8 @@
             self.become_follower(now, out);
         }
         r.term = self.hard.term;
-        let free = self.hard.voted_for.is_empty() || self.hard.voted_for == m.from;
-        r.ok = m.term == self.hard.term && free && newer && self.hard.may_vote;
+        let vote_available = self.hard.voted_for.is_empty() || self.hard.voted_for == m.from;
+        r.ok = m.term == self.hard.term && vote_available && log_up_to_date && self.hard.may_vote;
         if r.ok {
             self.hard.voted_for = m.from.clone();
             self.reset_election_timeout(now);
