--- a/crates/raft/src/node/log.rs
+++ b/crates/raft/src/node/log.rs
@@ -1,4 +1,4 @@
-//! The log: its entries, what of it is committed and applied, new entries.
+//! The log: access to entries, appending, committing and applying.
 
 use super::*;
 
@@ -18,12 +18,12 @@
         index.checked_sub(self.hard.base + 1).and_then(|i| self.log.get(i as usize))
     }
 
-    /// Entries that could be cut away.
+    /// Number of entries since the last snapshot.
     pub fn length(&self) -> usize {
         self.log.len()
     }
 
-    /// Bytes of the entries that could be cut away.
+    /// Payload bytes of the applied entries, which the next snapshot can replace.
     pub fn weight(&self) -> usize {
         self.log.iter().take_while(|e| e.index <= self.applied).map(|e| e.data.len()).sum()
     }
@@ -32,7 +32,8 @@
         self.applied
     }
 
-    /// How many committed entries each other control node is not known to hold.
+    /// Number of committed entries that each other control node has not acknowledged. Empty
+    /// unless this node is the leader.
     pub fn behind(&self) -> Vec<(String, u64)> {
         if self.role != StateRole::Leader {
             return Vec::new();
@@ -50,12 +51,12 @@
         let e = RaftEntry { index: self.last_index_and_term().0 + 1, term: self.hard.term, data, voters };
         out.push(Effect::Proposed(e.index, e.term));
         if !e.voters.is_empty() {
-            // In force from here on, committed or not.
+            // A new configuration takes effect when it is appended, not when it is committed.
             self.learners.retain(|l| !e.voters.contains(l));
             (self.voters, self.voters_index) = (e.voters.clone(), e.index);
         }
         self.log.push(e.clone());
-        // Others are told first: their disks work while this one does.
+        // Send before saving, so that the followers write to disk in parallel.
         self.broadcast_append(now, out);
         out.push(Effect::Save(Save { put: vec![e], ..Save::default() }));
         self.advance_commit(out);
@@ -74,8 +75,9 @@
             let n = held.get(self.majority() - 1).copied().unwrap_or(0);
             if n > self.commit && self.term_at(n) == Some(self.hard.term) {
                 self.commit = n;
-                // The others are told with the next tick and not the next beat: what
-                // is committed may be a new owner, and its own control node tells it.
+                // Send the new commit index with the next tick instead of the next
+                // heartbeat: the entry may assign a new owner, which learns of it from the
+                // control node that holds its session.
                 self.heartbeat_at = 0;
             }
         }
