--- a/crates/raft/src/node/membership.rs
+++ b/crates/raft/src/node/membership.rs
@@ -1,10 +1,10 @@
-//! The voters: who counts, how they change one at a time, and how a node whose disk
-//! was emptied gets its vote back.
+//! Membership: quorums, changes of one voter at a time, and readmission of a voter that
+//! lost its disk.
 
 use super::*;
 
 impl RaftNode {
-    /// Who votes, by the newest entry that says so.
+    /// Sets the voters from the latest configuration entry, or else from the snapshot.
     pub(super) fn load_voters(&mut self) {
         let found = self.log.iter().rev().find(|e| !e.voters.is_empty());
         (self.voters, self.voters_index) =
@@ -15,30 +15,31 @@
         &self.voters
     }
 
-    /// Whether the voters that are in force are committed.
+    /// Whether the current configuration is committed.
     pub fn voters_settled(&self) -> bool {
         self.voters_index <= self.commit
     }
 
-    /// The control nodes that are about to end: their votes pass on where a replacement
-    /// stands ready.
+    /// Sets the control nodes that are shutting down. They are replaced as voters if a
+    /// replacement is available.
     pub fn set_departing(&mut self, control_nodes: HashSet<String>) {
         self.departing = control_nodes;
     }
 
-    /// Whether a control node without a vote could have one: it holds what is
-    /// committed, and has not forgotten what it voted_for before.
+    /// Whether a learner can become a voter: it has all committed entries, has answered
+    /// within an election timeout, and is not awaiting readmission after the loss of its disk.
     pub fn could_vote(&self, control: &str, now: u64) -> bool {
         self.match_index.get(control).is_some_and(|m| *m >= self.commit)
             && !self.awaiting_readmission.contains_key(control)
             && self.last_answer(control) + self.timing.election > now
     }
 
-    /// The next change of voters, if one is called for: there are fewer than
-    /// `wanted`, or one has been silent for `away` or is about to end. `control_nodes` are
-    /// those whose sessions stand, with their zones. A replacement comes in before the
-    /// lost one goes, and only when it could vote at once; to be asked again as soon as
-    /// that is committed, as one voter too many with one lost bears no further loss.
+    /// The next change of voters, if one is needed because there are fewer or more than
+    /// `wanted`, or because one has been silent for `away` or is shutting down.
+    /// `control_nodes` lists those with a live session and their zones. A replacement is
+    /// added before the lost voter is removed, and only if it can vote at once. Call this
+    /// again as soon as the addition is committed: four voters of which one is lost tolerate
+    /// no further failure.
     pub fn next_voters(
         &self,
         control_nodes: &[(String, String)],
@@ -49,29 +50,30 @@
         if !self.may_change_voters() {
             return None;
         }
-        let lost = |v: &String| *v != self.id && (self.last_answer(v) + away < now || self.departing.contains(v));
-        let longest = self.voters.iter().filter(|v| lost(v)).min_by_key(|v| self.last_answer(v));
+        let unavailable =
+            |v: &String| *v != self.id && (self.last_answer(v) + away < now || self.departing.contains(v));
+        let longest_silent = self.voters.iter().filter(|v| unavailable(v)).min_by_key(|v| self.last_answer(v));
         if self.voters.len() > wanted {
-            // Whoever is about to end goes first: it is there only until then.
-            let ending = self.voters.iter().find(|v| **v != self.id && self.departing.contains(*v));
-            let longest = ending.or(longest);
-            let out = longest.or(self.voters.iter().rfind(|v| **v != self.id))?;
+            // Remove a voter that is shutting down first: it is available only until it exits.
+            let departing = self.voters.iter().find(|v| **v != self.id && self.departing.contains(*v));
+            let longest_silent = departing.or(longest_silent);
+            let out = longest_silent.or(self.voters.iter().rfind(|v| **v != self.id))?;
             return Some(self.voters.iter().filter(|v| *v != out).cloned().collect());
         }
-        if self.voters.len() == wanted && longest.is_none() {
+        if self.voters.len() == wanted && longest_silent.is_none() {
             return None;
         }
         let zone = |addr: &str| control_nodes.iter().find(|f| f.0 == addr).map(|f| f.1.as_str());
-        let taken = |z: &str| self.voters.iter().filter(|v| !lost(v) && zone(v) == Some(z)).count();
-        let fit = control_nodes
+        let voters_in_zone = |z: &str| self.voters.iter().filter(|v| !unavailable(v) && zone(v) == Some(z)).count();
+        let candidates = control_nodes
             .iter()
             .filter(|f| !self.voters.contains(&f.0) && !self.departing.contains(&f.0) && self.could_vote(&f.0, now));
-        let new = fit.min_by_key(|f| taken(&f.1))?;
-        Some(self.voters.iter().cloned().chain([new.0.clone()]).collect())
+        let replacement = candidates.min_by_key(|f| voters_in_zone(&f.1))?;
+        Some(self.voters.iter().cloned().chain([replacement.0.clone()]).collect())
     }
 
-    /// Whether the voters can be changed: the last change is over, and this
-    /// leader has committed an entry of its own.
+    /// Whether the voters can be changed: this node is the leader, the previous change is
+    /// committed, and so is an entry of the current term.
     pub fn may_change_voters(&self) -> bool {
         self.role == StateRole::Leader
             && self.voters_index <= self.commit
@@ -86,28 +88,29 @@
         self.voters.contains(&self.id)
     }
 
-    /// Whether what a voter says counts towards a majority. One that lost its disk may
-    /// have forgotten a newer leader: it follows, but stands for nothing.
+    /// Whether a voter's responses count towards a quorum. A voter that lost its disk may
+    /// have forgotten a newer leader, so it replicates the log but is not counted.
     pub(super) fn counts_toward_quorum(&self, voter: &str) -> bool {
         !self.awaiting_readmission.contains_key(voter)
     }
 
-    /// One that lost its disk votes again once it holds the whole log, and every
-    /// other voter that a majority needs has followed this leader since it asked:
-    /// no vote or entry that it forgot can matter then.
+    /// Readmits a voter that lost its disk once it has all committed entries and the other
+    /// voters that form a majority have acknowledged this leader since its request. No vote
+    /// or entry that it forgot can affect the quorum from then on.
     pub(super) fn readmit_voter(&mut self, now: u64, m: &RaftMessage, out: &mut Vec<Effect>) {
         let since = self.awaiting_readmission.get(&m.from).copied().unwrap_or(now);
-        let vouches = |v: &&String| {
+        let follows = |v: &&String| {
             **v == self.id || (self.counts_toward_quorum(v) && self.lease_acked_at.get(*v).is_some_and(|a| *a > since))
         };
-        let others = self.voters.iter().filter(vouches).count();
-        // Once a round: it may have to wait for longer than an answer takes.
-        let told = self.readmission_sent_in_round.get(&m.from).is_some_and(|r| m.round <= *r);
-        if m.index >= self.commit && others >= self.majority() && !told {
+        let followers = self.voters.iter().filter(follows).count();
+        // At most once per round: the node may be unable to act on it until three election
+        // timeouts after its start, while every response would trigger another.
+        let already_sent = self.readmission_sent_in_round.get(&m.from).is_some_and(|r| m.round <= *r);
+        if m.index >= self.commit && followers >= self.majority() && !already_sent {
             self.readmission_sent_in_round.insert(m.from.clone(), self.round);
             let mut r = self.new_message(RaftMessageKind::Append);
             r.readmit = true;
-            // To the incarnation that asked, and to no later one of the same disk.
+            // Valid only for the incarnation that sent the request.
             r.offset = m.offset;
             r.round = self.round;
             r.probe = self.probing;
