--- a/crates/raft/src/node/message.rs
+++ b/crates/raft/src/node/message.rs
@@ -1,4 +1,4 @@
-//! Messages: how they are begun, and which of those received cannot be.
+//! Construction and validation of messages.
 
 use super::*;
 
@@ -7,20 +7,20 @@
         RaftMessage { from: self.id.clone(), term: self.hard.term, kind: kind as i32, ..RaftMessage::default() }
     }
 
-    /// Whether a message can be one of a control node that works as this one does. What is
-    /// not changes nothing here, whatever it says.
+    /// Whether a correct control node could have sent this message. Other messages are
+    /// dropped without any effect.
     pub(super) fn is_valid(&self, kind: RaftMessageKind, m: &RaftMessage) -> bool {
-        let known = |index: u64| index < u64::MAX / 2;
-        let voters = |v: &[String]| {
-            let different: HashSet<&String> = v.iter().collect();
-            v.len() <= MAX_VOTERS && different.len() == v.len() && v.iter().all(|n| !n.is_empty())
+        let in_range = |index: u64| index < u64::MAX / 2;
+        let valid_voters = |v: &[String]| {
+            let distinct: HashSet<&String> = v.iter().collect();
+            v.len() <= MAX_VOTERS && distinct.len() == v.len() && v.iter().all(|n| !n.is_empty())
         };
-        let entries = || {
+        let valid_entries = || {
             let (mut index, mut term) = (m.index, m.log_term);
             m.entries.iter().all(|e| {
-                let follows = e.index == index + 1 && e.term >= term && e.term <= m.term && voters(&e.voters);
+                let follows = e.index == index + 1 && e.term >= term && e.term <= m.term && valid_voters(&e.voters);
                 (index, term) = (e.index, e.term);
-                // What is committed here is never another one.
+                // A committed entry must not be replaced by a different one.
                 follows && (e.index > self.commit || e.index <= self.hard.base || self.term_at(e.index) == Some(e.term))
             })
         };
@@ -31,7 +31,7 @@
         {
             return false;
         }
-        if !known(m.index) || !known(m.commit) || (m.log_term > m.term && kind != RaftMessageKind::Vote) {
+        if !in_range(m.index) || !in_range(m.commit) || (m.log_term > m.term && kind != RaftMessageKind::Vote) {
             return false;
         }
         match kind {
@@ -41,12 +41,12 @@
             | RaftMessageKind::TimeoutNow
             | RaftMessageKind::SnapshotAck => true,
             RaftMessageKind::Append | RaftMessageKind::InstallSnapshot => {
-                // A term has one leader.
-                let another = m.term == self.hard.term
+                // At most one leader per term.
+                let second_leader = m.term == self.hard.term
                     && (self.role == StateRole::Leader || (!self.leader.is_empty() && self.leader != m.from));
-                let whole =
-                    kind == RaftMessageKind::Append || (!m.voters.is_empty() && voters(&m.voters) && m.index > 0);
-                !another && whole && entries()
+                let complete =
+                    kind == RaftMessageKind::Append || (!m.voters.is_empty() && valid_voters(&m.voters) && m.index > 0);
+                !second_leader && complete && valid_entries()
             }
             RaftMessageKind::AppendAck => {
                 m.term != self.hard.term || self.role != StateRole::Leader || m.index <= self.last_index_and_term().0
