--- a/crates/raft/src/node/replication.rs
+++ b/crates/raft/src/node/replication.rs
@@ -1,4 +1,4 @@
-//! Replication of the log: appends, their answers, and how one that is behind catches up.
+//! Log replication: appends, their responses, and catching up of followers.
 
 use super::*;
 
@@ -6,7 +6,8 @@
     pub(super) fn broadcast_append(&mut self, now: u64, out: &mut Vec<Effect>) {
         self.heartbeat_at = now + self.timing.beat;
         self.round += 1;
-        // Followers are kept from electing only as long as a majority answers.
+        // Without responses from a majority, send probes, so that followers can elect
+        // another leader.
         self.probing = !self.reaches_majority(now);
         self.sent_rounds.insert(self.round, SentRound { at: now, probe: self.probing });
         self.sent_rounds.remove(&self.round.saturating_sub(256));
@@ -30,21 +31,23 @@
         m.index = next - 1;
         m.log_term = self.term_at(next - 1).unwrap_or(0);
         let from = (next - self.hard.base - 1) as usize;
-        // Bounded by bytes too: an entry may hold a whole configuration.
+        // Limited by bytes as well, since an entry may contain a whole configuration.
         let mut bytes = 0;
-        let lacks = &self.log[from.min(self.log.len())..];
-        let fits = lacks.iter().take(64).take_while(|e| {
+        let missing = &self.log[from.min(self.log.len())..];
+        let fits = missing.iter().take(64).take_while(|e| {
             let first = bytes == 0;
             bytes += e.data.len() + 64;
             first || bytes <= MAX_APPEND_BYTES
         });
         m.entries = fits.cloned().collect();
-        // Sent once; a refusal or a lost answer brings it back.
+        // Optimistic: the entries count as delivered. A rejection, or a later response that
+        // acknowledges less, moves `next_index` back.
         self.next_index.insert(to.into(), next + m.entries.len() as u64);
         out.push(Effect::Send(to.into(), m));
     }
 
-    /// When the round was sent that this answers.
+    /// Records that a follower answered the round of this response, as of when that round
+    /// was sent.
     pub(super) fn record_response(&mut self, now: u64, m: &RaftMessage) {
         let Some(sent) = self.sent_rounds.get(&m.round).copied() else { return };
         let reached = self.reached_at.entry(m.from.clone()).or_insert(0);
@@ -54,7 +57,7 @@
             *answered = (*answered).max(sent.at);
         }
         if self.probing && self.reaches_majority(now) {
-            // The next tick sends a round that extends the lease.
+            // Send an ordinary round, which extends the lease, with the next tick.
             self.heartbeat_at = 0;
         }
     }
@@ -67,7 +70,7 @@
             out.push(Effect::Send(m.from, r));
             return;
         }
-        // A probe keeps nobody from electing.
+        // A probe does not interrupt a pre-vote.
         if self.role != StateRole::Follower && !(m.probe && self.role == StateRole::PreCandidate) {
             self.become_follower(now, out);
         }
@@ -91,11 +94,12 @@
                 return;
             };
             let last = self.last_index_and_term().0;
-            // What it holds behind the snapshot's last entry stands, if that entry is its
-            // own: others may count on it.
-            let keeps = self.term_at(m.index) == Some(m.log_term);
-            save.del = Some((self.hard.base + 1, if keeps { m.index } else { last }));
-            if keeps {
+            // If the log contains the last entry of the snapshot, keep the entries after it:
+            // this node may have acknowledged them, and the leader may have counted that
+            // towards a commit.
+            let keeps_suffix = self.term_at(m.index) == Some(m.log_term);
+            save.del = Some((self.hard.base + 1, if keeps_suffix { m.index } else { last }));
+            if keeps_suffix {
                 self.log.drain(..(m.index - self.hard.base) as usize);
             } else {
                 self.log.clear();
@@ -112,17 +116,17 @@
             telemetry::count("raft_snapshots_taken");
             out.push(Effect::Restore(state));
         }
-        let joins = m.index < self.hard.base || self.term_at(m.index) == Some(m.log_term);
-        r.ok = joins;
-        // Whoever was given a vote that this disk lost counts votes for two election
-        // times at the most; a third is for what clocks differ.
-        let over = now >= self.started_at + 3 * self.timing.election;
-        if m.readmit && joins && m.offset == self.readmission_id && over && !self.hard.may_vote {
+        let log_matches = m.index < self.hard.base || self.term_at(m.index) == Some(m.log_term);
+        r.ok = log_matches;
+        // A candidate that got a vote that this disk lost counts votes for at most two
+        // election timeouts; the third one allows for differing clock rates.
+        let votes_expired = now >= self.started_at + 3 * self.timing.election;
+        if m.readmit && log_matches && m.offset == self.readmission_id && votes_expired && !self.hard.may_vote {
             self.hard.may_vote = true;
             save.hard = Some(self.hard.clone());
         }
-        if joins {
-            let mut held = m.index.max(self.hard.base);
+        if log_matches {
+            let mut last_held = m.index.max(self.hard.base);
             for e in m.entries {
                 if e.index <= self.hard.base {
                     continue;
@@ -141,13 +145,13 @@
                         save.put.push(e.clone());
                     }
                 }
-                held = held.max(e.index);
+                last_held = last_held.max(e.index);
             }
             if save.del.is_some() || save.put.iter().any(|e| !e.voters.is_empty()) {
                 self.load_voters();
             }
-            r.index = held;
-            self.commit = self.commit.max(m.commit.min(held));
+            r.index = last_held;
+            self.commit = self.commit.max(m.commit.min(last_held));
         } else {
             r.index = self.commit;
         }
@@ -173,17 +177,18 @@
         }
         self.record_response(now, &m);
         if self.outgoing.get(&m.from).is_some_and(|o| m.index >= o.index) {
-            // It holds the snapshot, or more than that.
+            // The follower has the snapshot.
             self.outgoing.remove(&m.from);
             self.next_index.insert(m.from.clone(), m.index + 1);
         }
         if !m.ok && m.readmit {
-            // An empty disk: what it held before does not count.
+            // The disk was emptied: earlier acknowledgements are void.
             self.match_index.insert(m.from.clone(), m.index);
         }
         if !m.ok {
-            // Many may be under way when the first is refused. Each would else bring
-            // back the whole of what is lacking, and the next refusal with it.
+            // Many appends may be in flight when the first one is rejected. Without this
+            // check, each rejection would cause all missing entries to be sent again, and
+            // that in turn further rejections.
             if self.rewound_in_round.get(&m.from).is_some_and(|r| m.round <= *r) {
                 telemetry::count("raft_refusals_known");
                 return;
@@ -204,7 +209,8 @@
             self.next_index.insert(m.from.clone(), m.index + 1);
         }
         if m.index < last && self.next_index.get(&m.from) == Some(&(m.index + 1)) {
-            // It holds all that it was sent: the next piece without waiting for a beat.
+            // All entries sent so far are acknowledged: send the next ones without waiting
+            // for a heartbeat.
             self.send_append(&m.from, out);
         }
         if m.readmit {
