--- a/crates/raft/src/node/snapshot.rs
+++ b/crates/raft/src/node/snapshot.rs
@@ -1,21 +1,21 @@
-//! Snapshots: cutting the log, and sending the state in pieces to one that is behind.
+//! Snapshots: log compaction, and transfer of the state in chunks to followers that lag.
 
 use super::*;
 
 impl RaftNode {
-    /// Takes no snapshot of more bytes than that.
+    /// Sets the largest snapshot accepted from a leader.
     pub fn limit_snapshots(&mut self, bytes: u64) {
         self.snapshot_limit = bytes;
     }
 
-    /// Whether a snapshot is on its way to somebody: a newer one would be the next to
-    /// send before that one is used.
+    /// Whether a snapshot transfer is in progress. If the log is compacted meanwhile, the
+    /// follower needs the newer snapshot as well before the first one is of use.
     pub fn sends_snapshot(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
-    /// One piece of a snapshot; once that is sent, an empty one as a beat, which the
-    /// other side answers with what it holds.
+    /// Sends the next chunk of a snapshot. While that chunk is unacknowledged, sends an empty
+    /// one as a heartbeat, which the follower answers with the number of bytes it has.
     pub(super) fn send_snapshot_chunk(&mut self, to: &str, mut m: RaftMessage, out: &mut Vec<Effect>) {
         if !self.outgoing.contains_key(to) {
             let digest = self.digest.get_or_insert_with(|| sha256(&self.state)).clone();
@@ -42,7 +42,7 @@
         out.push(Effect::Send(to.into(), m));
     }
 
-    /// What the other side holds of the snapshot on its way to it.
+    /// Handles a follower's progress in a snapshot transfer.
     pub(super) fn handle_snapshot_response(&mut self, now: u64, m: RaftMessage, out: &mut Vec<Effect>) {
         if self.role != StateRole::Leader || m.term != self.hard.term {
             return;
@@ -56,8 +56,8 @@
             telemetry::count("raft_refused");
             return;
         }
-        // Frames of one connection come in order: what was asked later than the piece
-        // was sent, and is answered without it, was answered by one that lost it.
+        // Frames of one connection arrive in order. If the response to a round later than the
+        // chunk's does not include the chunk, the chunk was lost.
         if m.offset > o.acked_bytes || (o.sent_in_round > 0 && m.round > o.sent_in_round) {
             o.acked_bytes = m.offset;
             o.sent_in_round = 0;
@@ -69,17 +69,17 @@
         }
     }
 
-    /// Takes one piece of a snapshot; the whole, if this was the last one.
+    /// Adds a chunk to the incoming snapshot. Returns the complete snapshot with the last one.
     pub(super) fn receive_snapshot_chunk(&mut self, m: &RaftMessage) -> Option<Bytes> {
         let end = m.offset.checked_add(m.state.len() as u64);
         if m.total > self.snapshot_limit || m.digest.len() != 32 || end.is_none_or(|e| e > m.total) {
             telemetry::count("raft_refused");
             return None;
         }
-        let same = |i: &IncomingSnapshot| {
+        let same_snapshot = |i: &IncomingSnapshot| {
             i.index == m.index && i.term == m.log_term && i.total == m.total && i.digest == m.digest
         };
-        if !self.incoming.as_ref().is_some_and(same) {
+        if !self.incoming.as_ref().is_some_and(same_snapshot) {
             let (index, term, digest, total) = (m.index, m.log_term, m.digest.clone(), m.total);
             self.incoming = Some(IncomingSnapshot { index, term, digest, total, state: Vec::new() });
         }
@@ -90,12 +90,12 @@
         if (i.state.len() as u64) < i.total {
             return None;
         }
-        let whole = self.incoming.take()?;
-        if sha256(&whole.state) != whole.digest {
+        let complete = self.incoming.take()?;
+        if sha256(&complete.state) != complete.digest {
             telemetry::count("raft_snapshots_refused");
             return None;
         }
-        Some(whole.state.into())
+        Some(complete.state.into())
     }
 
     pub(super) fn compact(&mut self, index: u64, state: Bytes, out: &mut Vec<Effect>) {
@@ -104,8 +104,8 @@
         }
         let Some(term) = self.term_at(index) else { return };
         let from = self.hard.base + 1;
-        let cut = self.log.drain(..(index - self.hard.base) as usize);
-        if let Some(e) = cut.rev().find(|e| !e.voters.is_empty()) {
+        let compacted = self.log.drain(..(index - self.hard.base) as usize);
+        if let Some(e) = compacted.rev().find(|e| !e.voters.is_empty()) {
             self.hard.voters = e.voters;
         }
         self.hard.base = index;
