--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -471,12 +471,12 @@
         {
             p.waiting.insert(*index, (*term, c));
         }
-        if SNAPSHOT_FIRST && p.raft.length() > self.long {
+        if SNAPSHOT_FIRST && p.raft.log_len() > self.long {
             let (index, state) = (p.raft.applied(), p.control_state.encode_to_vec());
             effects.extend(p.raft.step(now, Event::Snapshot { index, state: state.into() }));
         }
         self.carry(n, effects);
-        if !SNAPSHOT_FIRST && self.nodes[n].proc.as_ref().is_some_and(|p| p.raft.length() > self.long) {
+        if !SNAPSHOT_FIRST && self.nodes[n].proc.as_ref().is_some_and(|p| p.raft.log_len() > self.long) {
             self.snapshot(n);
         }
     }
--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -554,7 +554,7 @@
     w.pass(300);
     let (index, state) = (w.nodes[&c].applied(), w.control_states[&c].encode_to_vec());
     w.step(&c, Event::Snapshot { index, state: state.into() });
-    assert_eq!((w.nodes[&c].length(), w.nodes[&c].hard.base), (0, index));
+    assert_eq!((w.nodes[&c].log_len(), w.nodes[&c].hard.base), (0, index));
     assert!(w.nodes[&c].serves_until(w.now) > w.now, "it led, and nothing has changed");
     w.pass(2000);
     assert!(w.nodes[&c].serves_until(w.now) > w.now);
--- a/crates/raft/src/node/log.rs
+++ b/crates/raft/src/node/log.rs
@@ -19,7 +19,7 @@
     }
 
     /// Number of entries since the last snapshot.
-    pub fn length(&self) -> usize {
+    pub fn log_len(&self) -> usize {
         self.log.len()
     }
 
