--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -171,7 +171,7 @@
         }
         // Not behind the back of one that is being sent the last cut, unless it takes long.
         let room = if hand.raft.sends_snapshot() { 2 } else { 1 };
-        if hand.raft.log_len() > 512 * room || hand.raft.weight() > heavy * room {
+        if hand.raft.log_len() > 512 * room || hand.raft.applied_log_bytes() > heavy * room {
             hand.cut().await;
         }
         hand.tell(ticked);
--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -498,7 +498,7 @@
         w.pass(50);
     }
     assert_eq!(w.control_states[&leader].revision, 30);
-    assert!(w.nodes[&leader].weight() > 2 * rpc::FRAME_LIMIT);
+    assert!(w.nodes[&leader].applied_log_bytes() > 2 * rpc::FRAME_LIMIT);
     w.start(&away);
     w.pass(3000);
     assert_eq!(w.control_states[&away].revision, 30);
--- a/crates/raft/src/node/log.rs
+++ b/crates/raft/src/node/log.rs
@@ -24,7 +24,7 @@
     }
 
     /// Payload bytes of the applied entries, which the next snapshot can replace.
-    pub fn weight(&self) -> usize {
+    pub fn applied_log_bytes(&self) -> usize {
         self.log.iter().take_while(|e| e.index <= self.applied).map(|e| e.data.len()).sum()
     }
 
