--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -230,7 +230,7 @@
             f.serves_until = raft.serves_until(now);
             raft.leader_at(now).clone_into(&mut f.leader);
             if ticked {
-                f.behind = raft.behind();
+                f.behind = raft.replication_lag();
             }
             f.voters_settled = raft.voters_settled();
             if f.voters != raft.voters() {
--- a/crates/raft/src/node/log.rs
+++ b/crates/raft/src/node/log.rs
@@ -34,7 +34,7 @@
 
     /// Number of committed entries that each other control node has not acknowledged. Empty
     /// unless this node is the leader.
-    pub fn behind(&self) -> Vec<(String, u64)> {
+    pub fn replication_lag(&self) -> Vec<(String, u64)> {
         if self.role != StateRole::Leader {
             return Vec::new();
         }
