--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -232,7 +232,7 @@
             if ticked {
                 f.behind = raft.replication_lag();
             }
-            f.voters_settled = raft.voters_settled();
+            f.voters_settled = raft.voters_committed();
             if f.voters != raft.voters() {
                 f.voters = raft.voters().to_vec();
             }
--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -1035,7 +1035,7 @@
     let begun = w.now;
     let now = w.nodes[&c].voters().to_vec();
     assert!(now.contains(&"n".to_string()) && !now.contains(&ending) && now.len() == 3, "{now:?}");
-    assert!(w.nodes[&c].voters_settled());
+    assert!(w.nodes[&c].voters_committed());
     // From here on it may go, and one more with it.
     w.down.extend([ending.clone(), last.clone()]);
     w.put(&c, 3, 5);
--- a/crates/raft/src/node/membership.rs
+++ b/crates/raft/src/node/membership.rs
@@ -16,7 +16,7 @@
     }
 
     /// Whether the current configuration is committed.
-    pub fn voters_settled(&self) -> bool {
+    pub fn voters_committed(&self) -> bool {
         self.voters_index <= self.commit
     }
 
