--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -228,7 +228,7 @@
         let now = self.control.now();
         self.control.with(|f| {
             f.serves_until = raft.serves_until(now);
-            raft.leader_at(now).clone_into(&mut f.leader);
+            raft.known_leader(now).clone_into(&mut f.leader);
             if ticked {
                 f.behind = raft.replication_lag();
             }
--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -113,7 +113,7 @@
         self.nodes.keys().all(|n| {
             let mut at = n.as_str();
             for _ in 0..self.nodes.len() {
-                match self.nodes.get(at).map(|v| v.leader_at(self.now)) {
+                match self.nodes.get(at).map(|v| v.known_leader(self.now)) {
                     Some(to) if !to.is_empty() && to != at => at = to,
                     _ => return true,
                 }
--- a/crates/raft/src/node/lease.rs
+++ b/crates/raft/src/node/lease.rs
@@ -25,7 +25,7 @@
     }
 
     /// The leader, or an empty string if none was heard of for three election timeouts.
-    pub fn leader_at(&self, now: u64) -> &str {
+    pub fn known_leader(&self, now: u64) -> &str {
         let heard = self.role == StateRole::Leader || now < self.leader_heard_at + 3 * self.timing.election;
         if heard { &self.leader } else { "" }
     }
