--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -336,7 +336,7 @@
     let start = Instant::now();
     let seed = fingerprint(me.as_bytes()) ^ telemetry::wall_ms();
     let mut raft = RaftNode::new(&me, hard.clone(), state, log, timing, seed, 1_000_000);
-    raft.limit_snapshots(settings.limits.memory_mb << 20 >> 2);
+    raft.set_snapshot_limit(settings.limits.memory_mb << 20 >> 2);
     let (inputs, rx) = mpsc::unbounded_channel();
     let control = Arc::new(ControlService {
         me: me.clone(),
--- a/crates/raft/src/node/snapshot.rs
+++ b/crates/raft/src/node/snapshot.rs
@@ -4,7 +4,7 @@
 
 impl RaftNode {
     /// Sets the largest snapshot accepted from a leader.
-    pub fn limit_snapshots(&mut self, bytes: u64) {
+    pub fn set_snapshot_limit(&mut self, bytes: u64) {
         self.snapshot_limit = bytes;
     }
 
