--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -170,7 +170,7 @@
             hand.tend_voters().await;
         }
         // Not behind the back of one that is being sent the last cut, unless it takes long.
-        let room = if hand.raft.sends_snapshot() { 2 } else { 1 };
+        let room = if hand.raft.is_sending_snapshot() { 2 } else { 1 };
         if hand.raft.log_len() > 512 * room || hand.raft.applied_log_bytes() > heavy * room {
             hand.cut().await;
         }
--- a/crates/raft/src/node/snapshot.rs
+++ b/crates/raft/src/node/snapshot.rs
@@ -10,7 +10,7 @@
 
     /// Whether a snapshot transfer is in progress. If the log is compacted meanwhile, the
     /// follower needs the newer snapshot as well before the first one is of use.
-    pub fn sends_snapshot(&self) -> bool {
+    pub fn is_sending_snapshot(&self) -> bool {
         !self.outgoing.is_empty()
     }
 
