--- a/crates/raft/src/node/membership.rs
+++ b/crates/raft/src/node/membership.rs
@@ -28,7 +28,7 @@
 
     /// Whether a learner can become a voter: it has all committed entries, has answered
     /// within an election timeout, and is not awaiting readmission after the loss of its disk.
-    pub fn could_vote(&self, control: &str, now: u64) -> bool {
+    pub fn can_become_voter(&self, control: &str, now: u64) -> bool {
         self.match_index.get(control).is_some_and(|m| *m >= self.commit)
             && !self.awaiting_readmission.contains_key(control)
             && self.last_answer(control) + self.timing.election > now
@@ -65,9 +65,9 @@
         }
         let zone = |addr: &str| control_nodes.iter().find(|f| f.0 == addr).map(|f| f.1.as_str());
         let voters_in_zone = |z: &str| self.voters.iter().filter(|v| !unavailable(v) && zone(v) == Some(z)).count();
-        let candidates = control_nodes
-            .iter()
-            .filter(|f| !self.voters.contains(&f.0) && !self.departing.contains(&f.0) && self.could_vote(&f.0, now));
+        let candidates = control_nodes.iter().filter(|f| {
+            !self.voters.contains(&f.0) && !self.departing.contains(&f.0) && self.can_become_voter(&f.0, now)
+        });
         let replacement = candidates.min_by_key(|f| voters_in_zone(&f.1))?;
         Some(self.voters.iter().cloned().chain([replacement.0.clone()]).collect())
     }
