--- a/crates/raft/src/node/lease.rs
+++ b/crates/raft/src/node/lease.rs
@@ -54,7 +54,7 @@
     }
 
     /// When the latest round, without probes, that a control node answered was sent.
-    pub fn last_answer(&self, control: &str) -> u64 {
+    pub fn lease_acked_at(&self, control: &str) -> u64 {
         self.lease_acked_at.get(control).copied().unwrap_or(0)
     }
 }
--- a/crates/raft/src/node/membership.rs
+++ b/crates/raft/src/node/membership.rs
@@ -31,7 +31,7 @@
     pub fn can_become_voter(&self, control: &str, now: u64) -> bool {
         self.match_index.get(control).is_some_and(|m| *m >= self.commit)
             && !self.awaiting_readmission.contains_key(control)
-            && self.last_answer(control) + self.timing.election > now
+            && self.lease_acked_at(control) + self.timing.election > now
     }
 
     /// The next change of voters, if one is needed because there are fewer or more than
@@ -51,8 +51,8 @@
             return None;
         }
         let unavailable =
-            |v: &String| *v != self.id && (self.last_answer(v) + away < now || self.departing.contains(v));
-        let longest_silent = self.voters.iter().filter(|v| unavailable(v)).min_by_key(|v| self.last_answer(v));
+            |v: &String| *v != self.id && (self.lease_acked_at(v) + away < now || self.departing.contains(v));
+        let longest_silent = self.voters.iter().filter(|v| unavailable(v)).min_by_key(|v| self.lease_acked_at(v));
         if self.voters.len() > wanted {
             // Remove a voter that is shutting down first: it is available only until it exits.
             let departing = self.voters.iter().find(|v| **v != self.id && self.departing.contains(*v));
