--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -332,7 +332,7 @@
     if fresh && !settings.initial_start {
         telemetry::change!("the disk is empty: no vote until readmitted");
     }
-    let timing = Timing { beat: (quiet / 26.0) as u64, election: (quiet / 9.0) as u64 };
+    let timing = Timing { heartbeat: (quiet / 26.0) as u64, election: (quiet / 9.0) as u64 };
     let start = Instant::now();
     let seed = fingerprint(me.as_bytes()) ^ telemetry::wall_ms();
     let mut raft = RaftNode::new(&me, hard.clone(), state, log, timing, seed, 1_000_000);
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -16,7 +16,7 @@
     use super::*;
 
     pub const QUIET: u64 = 3600;
-    pub const TIMING: Timing = Timing { beat: QUIET / 26, election: QUIET / 9 };
+    pub const TIMING: Timing = Timing { heartbeat: QUIET / 26, election: QUIET / 9 };
     pub const TICK: u64 = QUIET / 100;
     pub const DUTY: u64 = QUIET / 60;
     /// From being told to end to the end.
--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -6,7 +6,7 @@
 use rpc::messages::{RaftEntry, RaftMessage};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-const TIMING: Timing = Timing { beat: 100, election: 400 };
+const TIMING: Timing = Timing { heartbeat: 100, election: 400 };
 const ALL: [&str; 3] = ["a", "b", "c"];
 
 #[derive(Clone, Default)]
@@ -764,7 +764,7 @@
     let bytes = 3 * rpc::FRAME_LIMIT / 2;
     let (mut w, c, away) = one_that_lacks_a_large_state(bytes);
     let kind = rpc::messages::RaftMessageKind::InstallSnapshot as i32;
-    let (mut moved, mut lost, mut largest, end) = (0, 0, 0, w.now + 20 * TIMING.beat * 10);
+    let (mut moved, mut lost, mut largest, end) = (0, 0, 0, w.now + 20 * TIMING.heartbeat * 10);
     while w.control_states[&away].revision != 9 {
         // Every third piece is lost on its way, and once the leader as well.
         let mut n = 0;
@@ -1064,7 +1064,7 @@
         }
         w.pass(10);
     }
-    let rounds = (w.now - began) / TIMING.beat + 2;
+    let rounds = (w.now - began) / TIMING.heartbeat + 2;
     assert!(told <= rounds, "told {told} times in {rounds} rounds");
     // It loses its disk once more; what was said to the incarnation before comes late.
     w.wipe(lost);
@@ -1112,7 +1112,7 @@
     assert!(last_heartbeat <= cut_at + TIMING.election, "it kept followers waiting for {} ms", last_heartbeat - cut_at);
     println!("last heartbeat after {} ms, succeeded after {} ms", last_heartbeat - cut_at, w.now - cut_at);
     // The followers' own time-outs, from the last heartbeat on.
-    assert!(w.now <= cut_at + 3 * TIMING.election + TIMING.beat, "succeeded after {} ms", w.now - cut_at);
+    assert!(w.now <= cut_at + 3 * TIMING.election + TIMING.heartbeat, "succeeded after {} ms", w.now - cut_at);
 }
 
 #[test]
@@ -1120,10 +1120,10 @@
     let (mut w, leader) = World::led();
     let term = w.nodes[&leader].hard.term;
     w.down.insert(leader.clone());
-    w.pass(TIMING.election - TIMING.beat / 2);
+    w.pass(TIMING.election - TIMING.heartbeat / 2);
     w.down.remove(&leader);
     assert!(!w.nodes[&leader].holds_leadership(w.now), "its lease has run out");
-    w.pass(3 * TIMING.beat);
+    w.pass(3 * TIMING.heartbeat);
     assert_eq!(w.leader().as_deref(), Some(leader.as_str()));
     w.pass(4 * TIMING.election);
     assert!(ALL.iter().all(|n| w.nodes[*n].hard.term == term), "an election by mistake");
@@ -1137,7 +1137,7 @@
     // Its probes are answered now; of its other rounds none arrives.
     let lease = w.nodes[&leader].serves_until(w.now);
     let mut answered = 0;
-    for _ in 0..2 * TIMING.beat / 10 {
+    for _ in 0..2 * TIMING.heartbeat / 10 {
         w.now += 10;
         for n in ALL {
             w.step(n, Event::Tick);
@@ -1152,6 +1152,6 @@
     }
     assert!(answered > 0, "no probe was answered");
     // With its rounds arriving again it leads on.
-    w.pass(2 * TIMING.beat);
+    w.pass(2 * TIMING.heartbeat);
     assert_eq!(w.leader(), Some(leader));
 }
--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -99,7 +99,7 @@
 /// Heartbeat interval and minimum election timeout, in milliseconds.
 #[derive(Clone, Copy)]
 pub struct Timing {
-    pub beat: u64,
+    pub heartbeat: u64,
     pub election: u64,
 }
 
--- a/crates/raft/src/node/replication.rs
+++ b/crates/raft/src/node/replication.rs
@@ -4,7 +4,7 @@
 
 impl RaftNode {
     pub(super) fn broadcast_append(&mut self, now: u64, out: &mut Vec<Effect>) {
-        self.heartbeat_at = now + self.timing.beat;
+        self.heartbeat_at = now + self.timing.heartbeat;
         self.round += 1;
         // Without responses from a majority, send probes, so that followers can elect
         // another leader.
--- a/crates/raft/tests/first_start.rs
+++ b/crates/raft/tests/first_start.rs
@@ -7,7 +7,7 @@
 use rpc::messages::RaftMessage;
 use std::collections::{BTreeMap, VecDeque};
 
-const TIMING: Timing = Timing { beat: 100, election: 400 };
+const TIMING: Timing = Timing { heartbeat: 100, election: 400 };
 const ALL: [&str; 3] = ["a", "b", "c"];
 /// Milliseconds from one tick of a node to its next.
 const TICK: u64 = 36;
