--- a/crates/raft/tests/first_start.rs
+++ b/crates/raft/tests/first_start.rs
@@ -1,4 +1,4 @@
-//! Which term elects the first leader when all nodes of a new cluster begin together.
+//! The term of the first leader when all nodes of a new cluster start together.
 
 use bytes::Bytes;
 use raft::*;
@@ -9,16 +9,16 @@
 
 const TIMING: Timing = Timing { heartbeat: 100, election: 400 };
 const ALL: [&str; 3] = ["a", "b", "c"];
-/// Milliseconds from one tick of a node to its next.
+/// Tick interval of a node, in milliseconds.
 const TICK: u64 = 36;
 
-/// Nodes that begin nearly at once, with their ticks and links as they come; the term
-/// of the first leader, and after how many milliseconds it led.
+/// Starts nodes nearly at the same time, with random tick phases and link delays. Returns the
+/// term of the first leader and the milliseconds until its election.
 fn first_start(seed: u64) -> (u64, u64) {
     let mut rng = SmallRng::seed_from_u64(seed);
     let voters: Vec<String> = ALL.iter().map(|n| n.to_string()).collect();
     let begin = 1_000_000;
-    // Every other run begins at one moment, as after a loss of power.
+    // In every other run all nodes start at the same time, as after a power failure.
     let spread = if seed.is_multiple_of(2) { 1 } else { 60 };
     let starts: Vec<u64> = ALL.iter().map(|_| begin + rng.random_range(0..spread)).collect();
     let mut nodes: Vec<RaftNode> = Vec::new();
@@ -26,7 +26,7 @@
         let hard = HardState { voters: voters.clone(), may_vote: true, ..HardState::default() };
         nodes.push(RaftNode::new(name, hard, Bytes::new(), vec![], TIMING, rng.random(), *start));
     }
-    // A link keeps its order.
+    // Links preserve the order of messages.
     let mut links: BTreeMap<(usize, usize), VecDeque<(u64, RaftMessage)>> = BTreeMap::new();
     for now in begin..begin + 20 * TIMING.election {
         for n in 0..nodes.len() {
@@ -61,17 +61,17 @@
 }
 
 #[test]
-fn the_first_start_has_one_winner_by_the_second_term_in_nine_of_ten_starts() {
+fn the_first_election_succeeds_by_the_second_term_in_nine_of_ten_starts() {
     let starts: Vec<(u64, u64)> = (0..400).map(first_start).collect();
-    let soon = starts.iter().filter(|s| s.0 <= 2).count();
+    let by_second_term = starts.iter().filter(|s| s.0 <= 2).count();
     let mut times: Vec<u64> = starts.iter().map(|s| s.1).collect();
     times.sort_unstable();
     let highest = starts.iter().map(|s| s.0).max();
     println!(
-        "{soon} of 400 by the second term, highest {highest:?}, half within {} ms, all within {:?}",
+        "{by_second_term} of 400 by the second term, highest term {highest:?}, half within {} ms, all within {:?}",
         times[200],
         times.last()
     );
-    assert!(soon >= 360, "{soon} of 400");
-    assert!(times[200] <= TIMING.election, "half of them took {} ms", times[200]);
+    assert!(by_second_term >= 360, "{by_second_term} of 400 by the second term");
+    assert!(times[200] <= TIMING.election, "the median election took {} ms", times[200]);
 }
