--- a/crates/control/tests/explore.rs
+++ b/crates/control/tests/explore.rs
@@ -431,7 +431,7 @@
     }
     w.snapshot(leader);
     w.start(other);
-    explore("one behind a cut log", w, &[], 5, 2);
+    explore("one behind a compacted log", w, &[], 5, 2);
 }
 
 #[test]
@@ -439,7 +439,7 @@
     let (mut w, _, other) = cluster_with_leader(0);
     w.wipe(other);
     w.start(other);
-    explore("one without its disk", w, &[], 5, 2);
+    explore("one voter lost its disk", w, &[], 5, 2);
 }
 
 #[test]
@@ -449,7 +449,7 @@
     // No other node has this entry.
     w.send_request(1, leader);
     w.run_for(300);
-    explore("an old leader cut off", w, &[(5, Fault::Isolate(leader, 5))], 6, 2);
+    explore("an isolated old leader", w, &[(5, Fault::Isolate(leader, 5))], 6, 2);
 }
 
 #[test]
@@ -457,7 +457,7 @@
     let (mut w, leader, other) = cluster_with_leader(0);
     w.cut_links.insert((leader, other));
     w.run_for(driver::TIMING.election + 40);
-    explore("one that does not hear the leader", w, &[(4, Fault::CutLink(leader, other, 4))], 4, 2);
+    explore("one follower does not receive from the leader", w, &[(4, Fault::CutLink(leader, other, 4))], 4, 2);
 }
 
 /// Guards against committing an entry of an earlier term by counting its replicas. No run of
--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -77,7 +77,7 @@
         let seed = n.as_bytes()[0] as u64 * 7919;
         let v = RaftNode::new(n, d.hard, d.state.clone(), d.log.into_values().collect(), TIMING, seed, self.now);
         self.nodes.insert(n.into(), v);
-        self.control_states.insert(n.into(), ControlState::decode(d.state).expect("whole state"));
+        self.control_states.insert(n.into(), ControlState::decode(d.state).expect("valid state"));
         self.applied.insert(n.into(), vec![]);
         self.down.remove(n);
     }
@@ -101,7 +101,7 @@
                     self.applied.get_mut(n).expect("a list").push((e.index, a));
                 }
                 Effect::Restore(s) => {
-                    self.control_states.insert(n.into(), ControlState::decode(s).expect("whole state"));
+                    self.control_states.insert(n.into(), ControlState::decode(s).expect("valid state"));
                 }
                 _ => {}
             }
@@ -1073,7 +1073,7 @@
         w.run_for(10);
     }
     let rounds = (w.now - began) / TIMING.heartbeat + 2;
-    assert!(told <= rounds, "told {told} times in {rounds} rounds");
+    assert!(told <= rounds, "sent {told} times in {rounds} rounds");
     // It loses its disk again; the readmission of the previous incarnation arrives late.
     w.wipe(lost);
     w.in_flight.clear();
