--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -21,12 +21,12 @@
     /// cuts the links of a pair of nodes as a rule cuts those of their zones. It stays in sync
     /// until the other one is, so that there is no copy less meanwhile. One at a time for each
     /// partition.
-    fn replacement(&self, was: &Partition, o: &Order) -> RolloutVerdict {
+    fn replacement(&self, was: &Partition, o: &Order) -> OrderVerdict {
         let is_settled = was.grant.is_none()
             && was.replicas.iter().all(|replica| was.in_sync.contains(replica))
             && was.in_sync.len() == was.replicas.len();
         if o.term != was.term || o.node == was.owner || !was.replicas.contains(&o.node) || !is_settled {
-            return RolloutVerdict::Refused;
+            return OrderVerdict::Refused;
         }
         let now = self.now();
         let replica_count = self.settings.tolerance.machines as usize + 1;
@@ -46,9 +46,9 @@
                         o.node,
                         put.replicas
                     );
-                    RolloutVerdict::Put(put)
+                    OrderVerdict::Put(put)
                 }
-                _ => RolloutVerdict::Refused,
+                _ => OrderVerdict::Refused,
             }
         })
     }
@@ -82,19 +82,19 @@
         }
         let verdict = match OrderKind::try_from(o.kind) {
             Ok(OrderKind::Replace) => self.replacement(&was, &o),
-            _ => rule(&was, &o),
+            _ => evaluate_order(&was, &o),
         };
         match verdict {
             // By what was read here, and given only if that was the last word: this
             // process may have stood still in between.
-            execution @ (RolloutVerdict::Refused | RolloutVerdict::Stands) => {
+            execution @ (OrderVerdict::Refused | OrderVerdict::AlreadyInForce) => {
                 if self.authority() == Some(term) {
-                    ack.refused = execution == RolloutVerdict::Refused;
+                    ack.refused = execution == OrderVerdict::Refused;
                     ack.ok = !ack.refused;
                     ack.partition = Some(was);
                 }
             }
-            RolloutVerdict::Put(now) => {
+            OrderVerdict::Put(now) => {
                 let put = CommandPayload::Partition(PutPartition { was, now });
                 if self.propose(put).await == Some(ApplyResult::Done) {
                     telemetry::count("partition_orders");
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -432,30 +432,30 @@
 
 /// What an order asks for, if it can be granted as things stand.
 #[derive(Debug, PartialEq)]
-pub enum RolloutVerdict {
+pub enum OrderVerdict {
     Put(Partition),
     /// It is so already.
-    Stands,
+    AlreadyInForce,
     Refused,
 }
 
-pub fn rule(p: &Partition, order: &Order) -> RolloutVerdict {
+pub fn evaluate_order(p: &Partition, order: &Order) -> OrderVerdict {
     let kind = OrderKind::try_from(order.kind).unwrap_or(OrderKind::None);
     let mut now = p.clone();
     match kind {
         OrderKind::Grant => {
             if order.term != p.term || order.node == p.owner || !p.in_sync.contains(&order.node) {
-                return RolloutVerdict::Refused;
+                return OrderVerdict::Refused;
             }
             let in_sync: Vec<String> = p.in_sync.iter().filter(|n| **n != order.leaving).cloned().collect();
             if let Some(g) = &p.grant {
-                return if g.candidate == order.node { RolloutVerdict::Stands } else { RolloutVerdict::Refused };
+                return if g.candidate == order.node { OrderVerdict::AlreadyInForce } else { OrderVerdict::Refused };
             }
             now.grant = Some(Grant { term: p.term + 1, candidate: order.node.clone(), in_sync });
         }
         OrderKind::Own => {
             if p.owner == order.node && p.term == order.term {
-                return RolloutVerdict::Stands;
+                return OrderVerdict::AlreadyInForce;
             }
             match &p.grant {
                 Some(g) if g.term == order.term && g.candidate == order.node => {
@@ -466,15 +466,15 @@
                     now.seized = false;
                     now.set_joined(&order.node, order.incarnation);
                 }
-                _ => return RolloutVerdict::Refused,
+                _ => return OrderVerdict::Refused,
             }
         }
         OrderKind::Join => {
             if order.term != p.term || p.grant.is_some() {
-                return RolloutVerdict::Refused;
+                return OrderVerdict::Refused;
             }
             if p.in_sync.contains(&order.node) && p.joined_incarnation(&order.node) == order.incarnation {
-                return RolloutVerdict::Stands;
+                return OrderVerdict::AlreadyInForce;
             }
             now.in_sync.retain(|n| *n != order.node);
             now.in_sync.push(order.node.clone());
@@ -482,13 +482,13 @@
         }
         OrderKind::Drop => {
             if order.node == p.owner || p.grant.as_ref().is_some_and(|g| g.candidate == order.node) {
-                return RolloutVerdict::Refused;
+                return OrderVerdict::Refused;
             }
             if order.term != 0 && order.term != p.term {
-                return RolloutVerdict::Refused;
+                return OrderVerdict::Refused;
             }
             if !p.in_sync.contains(&order.node) {
-                return RolloutVerdict::Stands;
+                return OrderVerdict::AlreadyInForce;
             }
             now.in_sync.retain(|n| *n != order.node);
             if let Some(g) = &mut now.grant {
@@ -496,9 +496,9 @@
             }
         }
         // Ruled on by whoever knows which machines stand.
-        OrderKind::Replace | OrderKind::None => return RolloutVerdict::Refused,
+        OrderKind::Replace | OrderKind::None => return OrderVerdict::Refused,
     }
-    RolloutVerdict::Put(now)
+    OrderVerdict::Put(now)
 }
 
 /// How far a store node counts for the partitions that it holds a copy of.
--- a/crates/control/tests/duties.rs
+++ b/crates/control/tests/duties.rs
@@ -92,7 +92,7 @@
     assert_eq!((s.owner.as_str(), s.term, s.in_sync), ("a", 4, names(&["a"])));
     let mut join = order(OrderKind::Join, 4, "b");
     join.incarnation = 9;
-    let RolloutVerdict::Put(j) = rule(&partition("a", &["a"]), &join) else { panic!("joined") };
+    let OrderVerdict::Put(j) = evaluate_order(&partition("a", &["a"]), &join) else { panic!("joined") };
     assert_eq!(j.joined_incarnation("b"), 9);
 }
 
@@ -111,16 +111,16 @@
 #[test]
 fn orders_are_granted_or_refused_by_term() {
     let p = partition("a", &["a", "b"]);
-    assert_eq!(rule(&p, &order(OrderKind::Grant, 3, "b")), RolloutVerdict::Refused);
-    assert_eq!(rule(&p, &order(OrderKind::Grant, 4, "c")), RolloutVerdict::Refused, "not in sync");
-    let RolloutVerdict::Put(g) = rule(&p, &order(OrderKind::Grant, 4, "b")) else { panic!("granted") };
-    assert_eq!(rule(&g, &order(OrderKind::Grant, 4, "b")), RolloutVerdict::Stands);
-    assert_eq!(rule(&g, &order(OrderKind::Join, 4, "c")), RolloutVerdict::Refused, "not while a grant is pending");
-    let RolloutVerdict::Put(o) = rule(&g, &order(OrderKind::Own, 5, "b")) else { panic!("owned") };
+    assert_eq!(evaluate_order(&p, &order(OrderKind::Grant, 3, "b")), OrderVerdict::Refused);
+    assert_eq!(evaluate_order(&p, &order(OrderKind::Grant, 4, "c")), OrderVerdict::Refused, "not in sync");
+    let OrderVerdict::Put(g) = evaluate_order(&p, &order(OrderKind::Grant, 4, "b")) else { panic!("granted") };
+    assert_eq!(evaluate_order(&g, &order(OrderKind::Grant, 4, "b")), OrderVerdict::AlreadyInForce);
+    assert_eq!(evaluate_order(&g, &order(OrderKind::Join, 4, "c")), OrderVerdict::Refused, "not while a grant is pending");
+    let OrderVerdict::Put(o) = evaluate_order(&g, &order(OrderKind::Own, 5, "b")) else { panic!("owned") };
     assert_eq!((o.owner.as_str(), o.term, o.grant.is_none()), ("b", 5, true));
-    assert_eq!(rule(&p, &order(OrderKind::Own, 5, "b")), RolloutVerdict::Refused, "nothing was granted");
-    assert_eq!(rule(&p, &order(OrderKind::Drop, 0, "a")), RolloutVerdict::Refused, "an owner cannot be dropped");
-    let RolloutVerdict::Put(d) = rule(&p, &order(OrderKind::Drop, 0, "b")) else { panic!("dropped") };
+    assert_eq!(evaluate_order(&p, &order(OrderKind::Own, 5, "b")), OrderVerdict::Refused, "nothing was granted");
+    assert_eq!(evaluate_order(&p, &order(OrderKind::Drop, 0, "a")), OrderVerdict::Refused, "an owner cannot be dropped");
+    let OrderVerdict::Put(d) = evaluate_order(&p, &order(OrderKind::Drop, 0, "b")) else { panic!("dropped") };
     assert_eq!(d.in_sync, names(&["a"]));
 }
 
