--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -219,7 +219,7 @@
             Reply::json(200, serde_json::json!({ "revision": revision }).to_string())
         }
         Some(ApplyResult::Repeated) => again(),
-        Some(ApplyResult::Beaten) => fault(412, "another configuration came first"),
+        Some(ApplyResult::Conflict) => fault(412, "another configuration came first"),
         Some(ApplyResult::Refused) => fault(400, "the change does not apply"),
         Some(ApplyResult::Undecoded) | None => fault(504, "it may or may not be in force: send it again unchanged"),
     }
@@ -243,7 +243,7 @@
     match applied {
         Some(ApplyResult::Done) => Reply::json(200, r#"{"state":"running"}"#),
         Some(ApplyResult::Repeated) => Reply::json(200, r#"{"again":true}"#),
-        Some(ApplyResult::Beaten) => fault(409, beaten),
+        Some(ApplyResult::Conflict) => fault(409, beaten),
         Some(ApplyResult::Refused) => refused(),
         Some(ApplyResult::Undecoded) | None => {
             fault(504, "it may or may not have been started: send it again unchanged")
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -197,7 +197,7 @@
     /// This very order was taken before; it changes nothing.
     Repeated,
     /// Something else came first, or is under way.
-    Beaten,
+    Conflict,
     /// It cannot be granted as things stand.
     Refused,
     /// A command that cannot be decoded; it changes nothing.
@@ -256,7 +256,7 @@
                     return ApplyResult::Repeated;
                 }
                 if t.base != self.revision || t.revision <= self.revision {
-                    return ApplyResult::Beaten;
+                    return ApplyResult::Conflict;
                 }
                 // A change of named items is logged as such, and comes to the same whole
                 // everywhere.
@@ -294,10 +294,10 @@
             }
             CommandPayload::Partition(p) => {
                 let Some(slot) = self.assignments.partitions.iter_mut().find(|x| x.id == p.was.id) else {
-                    return ApplyResult::Beaten;
+                    return ApplyResult::Conflict;
                 };
                 if *slot != p.was {
-                    return ApplyResult::Beaten;
+                    return ApplyResult::Conflict;
                 }
                 *slot = p.now;
                 slot.changed = index;
@@ -309,7 +309,7 @@
                     return ApplyResult::Repeated;
                 }
                 if running {
-                    return ApplyResult::Beaten;
+                    return ApplyResult::Conflict;
                 }
                 if let Some(i) = slot {
                     self.assignments.rollouts.remove(i);
@@ -320,7 +320,7 @@
             CommandPayload::PutRollout(PutRollout { was, now }) => {
                 let slot = self.assignments.rollouts.iter_mut().find(|x| **x == was);
                 let Some(slot) = slot.filter(|x| x.state == "running") else {
-                    return ApplyResult::Beaten;
+                    return ApplyResult::Conflict;
                 };
                 *slot = Rollout { service: was.service, began: was.began, ..now };
             }
@@ -330,7 +330,7 @@
                     return ApplyResult::Repeated;
                 }
                 if running {
-                    return ApplyResult::Beaten;
+                    return ApplyResult::Conflict;
                 }
                 let stays = |n: &&String| **n != r.node && !self.is_retired(n);
                 if r.stores.iter().filter(stays).count() < r.least as usize {
@@ -345,7 +345,7 @@
                 let slot =
                     self.assignments.retires.iter_mut().find(|x| x.node == r.node && x.began == r.began && !x.done);
                 let Some(slot) = slot.filter(|_| empty) else {
-                    return ApplyResult::Beaten;
+                    return ApplyResult::Conflict;
                 };
                 slot.done = true;
                 slot.born = r.born;
@@ -357,17 +357,17 @@
             }
             CommandPayload::ColdKnown(known) => {
                 if !known.apply(&mut self.assignments.evacuations) {
-                    return ApplyResult::Beaten;
+                    return ApplyResult::Conflict;
                 }
             }
             CommandPayload::HomeLayout(layout) => {
                 if !add_home_partitions(&mut self.assignments.partitions, layout.partitions, index) {
-                    return ApplyResult::Beaten;
+                    return ApplyResult::Conflict;
                 }
             }
             CommandPayload::Layout(l) => {
                 if !self.assignments.partitions.is_empty() {
-                    return ApplyResult::Beaten;
+                    return ApplyResult::Conflict;
                 }
                 self.assignments.partitions = l.partitions;
                 for p in &mut self.assignments.partitions {
--- a/crates/control/tests/homes.rs
+++ b/crates/control/tests/homes.rs
@@ -117,17 +117,17 @@
     let home_command = |region, first| {
         CommandPayload::HomeLayout(Layout { partitions: home_layout(region, &all, first, REPLICA_COUNT, SPREAD) })
     };
-    assert_eq!(apply(&mut state, home_command("r0", 0)), ApplyResult::Beaten, "not before the first layout");
+    assert_eq!(apply(&mut state, home_command("r0", 0)), ApplyResult::Conflict, "not before the first layout");
     let partitions = layout(&all, REPLICA_COUNT, SPREAD);
     let unbound = partitions.len() as u32;
     assert_eq!(apply(&mut state, CommandPayload::Layout(Layout { partitions })), ApplyResult::Done);
     assert_eq!(apply(&mut state, home_command("r0", unbound)), ApplyResult::Done);
     assert_eq!(
         apply(&mut state, home_command("r0", unbound + 4)),
-        ApplyResult::Beaten,
+        ApplyResult::Conflict,
         "a second layout of the region"
     );
-    assert_eq!(apply(&mut state, home_command("r1", unbound + 1)), ApplyResult::Beaten, "ids in use");
+    assert_eq!(apply(&mut state, home_command("r1", unbound + 1)), ApplyResult::Conflict, "ids in use");
     assert_eq!(apply(&mut state, home_command("r1", unbound + 4)), ApplyResult::Done);
     for hash in 0..1000 {
         assert!(
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -81,7 +81,7 @@
 #[test]
 fn of_two_roll_outs_of_a_service_one_is_taken_and_its_repeat_is_known() {
     let mut l = Log::default();
-    assert_eq!((l.rollout("v2", 10), l.rollout("v3", 10)), (ApplyResult::Done, ApplyResult::Beaten));
+    assert_eq!((l.rollout("v2", 10), l.rollout("v3", 10)), (ApplyResult::Done, ApplyResult::Conflict));
     // Under way with one leader and sent to the next; and long after, while it runs.
     assert_eq!((l.rollout("v2", 500), l.rollout("v2", 90_000)), (ApplyResult::Repeated, ApplyResult::Repeated));
     let first = l.running();
@@ -95,7 +95,7 @@
     assert_eq!((second.state.as_str(), second.began), ("running", 7));
     assert_eq!(l.rollout("v2", 1900), ApplyResult::Repeated);
     // One that was beaten was never taken: it may come again once the way is free.
-    assert_eq!(l.rollout("v3", 1950), ApplyResult::Beaten);
+    assert_eq!(l.rollout("v3", 1950), ApplyResult::Conflict);
     l.judge(&second, "settled");
     assert_eq!(l.rollout("v3", 1960), ApplyResult::Done);
 }
@@ -105,14 +105,14 @@
     let mut l = Log::default();
     l.rollout("v2", 10);
     let first = l.running();
-    assert_eq!((l.judge(&first, "reverted"), l.judge(&first, "settled")), (ApplyResult::Done, ApplyResult::Beaten));
+    assert_eq!((l.judge(&first, "reverted"), l.judge(&first, "settled")), (ApplyResult::Done, ApplyResult::Conflict));
     let ended = l.running();
-    assert_eq!(l.judge(&ended, "running"), ApplyResult::Beaten, "an end is an end");
+    assert_eq!(l.judge(&ended, "running"), ApplyResult::Conflict, "an end is an end");
     // The same once more, all fields but its beginning alike: what was seen of the
     // first decides nothing.
     assert_eq!(l.rollout("v2", 5000), ApplyResult::Done);
     assert_eq!(Rollout { began: first.began, ..l.running() }, first);
-    assert_eq!(l.judge(&first, "settled"), ApplyResult::Beaten);
+    assert_eq!(l.judge(&first, "settled"), ApplyResult::Conflict);
     assert_eq!(l.running().state, "running");
     let mut other = l.running();
     other.began = 99;
@@ -164,17 +164,17 @@
     assert_eq!((l.retire("a", &all, 20), l.retire("a", &[], 900)), (ApplyResult::Repeated, ApplyResult::Repeated));
     let began = l.control_state.assignments.retires[0].began;
     // Done when the log itself says that it holds nothing, and that all is elsewhere.
-    assert_eq!(l.finish("a", began), ApplyResult::Beaten, "it owns one");
+    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "it owns one");
     l.partition(|p| (p.owner, p.replicas) = ("b".into(), vec!["b".into(), "c".into()]));
-    assert_eq!(l.finish("a", began), ApplyResult::Beaten, "it follows one");
+    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "it follows one");
     l.partition(|p| p.in_sync = vec!["b".into()]);
-    assert_eq!(l.finish("a", began), ApplyResult::Beaten, "one copy is lacking");
+    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "one copy is lacking");
     l.partition(|p| p.in_sync = vec!["b".into(), "c".into()]);
     l.partition(|p| p.grant = Some(Grant { term: 2, candidate: "c".into(), in_sync: vec![] }));
-    assert_eq!(l.finish("a", began), ApplyResult::Beaten, "a move is under way");
+    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "a move is under way");
     l.partition(|p| p.grant = None);
-    assert_eq!(l.finish("a", began + 1), ApplyResult::Beaten, "another retire");
-    assert_eq!((l.finish("a", began), l.finish("a", began)), (ApplyResult::Done, ApplyResult::Beaten));
+    assert_eq!(l.finish("a", began + 1), ApplyResult::Conflict, "another retire");
+    assert_eq!((l.finish("a", began), l.finish("a", began)), (ApplyResult::Done, ApplyResult::Conflict));
     // Sent again though the node is gone; and one that still stands does not count.
     assert_eq!(l.retire("a", &["b", "c"], 1000), ApplyResult::Repeated);
     assert_eq!(l.retire("b", &all, 1000), ApplyResult::Refused);
@@ -215,18 +215,18 @@
         } else if same(n) {
             ApplyResult::Repeated
         } else {
-            ApplyResult::Beaten
+            ApplyResult::Conflict
         };
         assert_eq!(*got, wanted, "{n}");
     }
     assert_eq!(l.control_state.configuration, WHOLE);
     // Equal bytes as another kind of order, or on another base, are no repeat.
-    assert_eq!(l.config("adjust", 0, 3, WHOLE), ApplyResult::Beaten);
-    assert_eq!(l.config("replace", 2, 3, WHOLE), ApplyResult::Beaten);
-    assert_eq!(l.config("replace", 3, 3, WHOLE), ApplyResult::Beaten, "a number is not used twice");
+    assert_eq!(l.config("adjust", 0, 3, WHOLE), ApplyResult::Conflict);
+    assert_eq!(l.config("replace", 2, 3, WHOLE), ApplyResult::Conflict);
+    assert_eq!(l.config("replace", 3, 3, WHOLE), ApplyResult::Conflict, "a number is not used twice");
     // Changes that do not apply: on the newest version, and on a stale one.
     let before = l.control_state.clone();
-    for (base, wanted) in [(3, ApplyResult::Refused), (2, ApplyResult::Beaten)] {
+    for (base, wanted) in [(3, ApplyResult::Refused), (2, ApplyResult::Conflict)] {
         assert_eq!(l.config("adjust", base, 9, r#"{"revision":9,"remove":{"nowhere":["p"]}}"#), wanted);
         assert_eq!(l.config("adjust", base, 9, "no json"), wanted);
     }
@@ -234,11 +234,11 @@
     assert_eq!(l.config("adjust", 3, 9, r#"{"revision":9,"remove":{"plants":["p"]}}"#), ApplyResult::Done);
     // Taken stays taken, with other changes since.
     assert_eq!(l.config("replace", 0, 3, WHOLE), ApplyResult::Repeated);
-    assert_eq!(l.config("replace", 0, 3, &other), ApplyResult::Beaten);
+    assert_eq!(l.config("replace", 0, 3, &other), ApplyResult::Conflict);
     // What carries no digest is no repeat of anything.
     let bare = PutConfiguration { base: 9, revision: 11, json: "{}".into(), ..PutConfiguration::default() };
     assert_eq!(l.put(CommandPayload::Configuration(bare.clone())), ApplyResult::Done);
-    assert_eq!(l.put(CommandPayload::Configuration(bare)), ApplyResult::Beaten);
+    assert_eq!(l.put(CommandPayload::Configuration(bare)), ApplyResult::Conflict);
 }
 
 #[test]
@@ -327,8 +327,8 @@
     assert_eq!((log.zone_use("a", 39), log.zone_use("a", 40)), (ZoneUse::Returning, ZoneUse::Open));
     // A listing from before another evacuation says nothing of the return after that.
     log.evacuate("a", false);
-    assert_eq!(log.cold_known("a", ordered, 50), ApplyResult::Beaten);
+    assert_eq!(log.cold_known("a", ordered, 50), ApplyResult::Conflict);
     log.evacuate("a", true);
-    assert_eq!(log.cold_known("a", ordered, 60), ApplyResult::Beaten);
+    assert_eq!(log.cold_known("a", ordered, 60), ApplyResult::Conflict);
     assert_eq!(log.zone_use("a", 60), ZoneUse::Returning);
 }
--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -211,7 +211,7 @@
     w.run_for(300);
     for n in ALL {
         let got: Vec<ApplyResult> = w.applied[n].iter().map(|a| a.1).collect();
-        assert_eq!(got[got.len() - 2..], [ApplyResult::Done, ApplyResult::Beaten]);
+        assert_eq!(got[got.len() - 2..], [ApplyResult::Done, ApplyResult::Conflict]);
         assert_eq!(w.control_states[n].revision, 3);
         assert!(w.control_states[n].took(&request_digest(0, 3)) && !w.control_states[n].took(&request_digest(0, 4)));
     }
