--- a/crates/control/src/copies.rs
+++ b/crates/control/src/copies.rs
@@ -8,7 +8,7 @@
 //! in trouble for `settleS`: its copy is given up.
 
 use crate::assignment::{Spread, StoreMachine, eligible_machines, replace_replica};
-use crate::service::{ControlService, ControlShared, Leased};
+use crate::service::{ControlService, ControlShared, StoreLease};
 use crate::state::{CopyHealth, copies_of};
 use rpc::messages::Partition;
 
@@ -61,7 +61,7 @@
 }
 
 impl CopyAssessor<'_> {
-    fn lease(&self, node: &str) -> Option<&Leased> {
+    fn lease(&self, node: &str) -> Option<&StoreLease> {
         self.shared.leases.get(node)
     }
 
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -305,7 +305,7 @@
     fn check_ownership(&self, shared: &mut ControlShared, partitions: &[Partition], now: u64) {
         let lease = self.settings.lease_ms();
         for p in partitions {
-            let claims_it = |l: &Leased| l.claims.iter().any(|c| c.partition == p.id && c.term >= p.term);
+            let claims_it = |l: &StoreLease| l.claims.iter().any(|c| c.partition == p.id && c.term >= p.term);
             let is_claimed = shared.leases.iter().any(|(n, l)| Self::is_alive(shared, now, lease, n) && claims_it(l));
             shared.ownership_watch.record(p.id, is_claimed, now);
         }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -45,7 +45,7 @@
     pub(crate) seen: u64,
 }
 
-pub(crate) struct Leased {
+pub(crate) struct StoreLease {
     pub(crate) incarnation: u64,
     /// When it was last renewed.
     pub(crate) at: u64,
@@ -67,7 +67,7 @@
     /// What others lack of it.
     pub(crate) membership_updates: MembershipUpdates,
     pub(crate) sessions: BTreeMap<String, Session>,
-    pub(crate) leases: HashMap<String, Leased>,
+    pub(crate) leases: HashMap<String, StoreLease>,
     /// Incarnations that were seen to end.
     pub(crate) ended: HashMap<String, u64>,
     pub leader: String,
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -124,7 +124,7 @@
             let lagging_since = former.map_or(now, |old| old.lagging_since);
             f.leases.insert(
                 name.clone(),
-                Leased {
+                StoreLease {
                     incarnation: l.node.incarnation,
                     at: now,
                     born: l.node.born,
