--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -271,7 +271,7 @@
                 commands.extend(was.map(|was| CommandPayload::Partition(PutPartition { was, now: updated })));
             }
             for r in shared.control_state.assignments.retires.iter().filter(|r| !r.done) {
-                if emptied(&partitions, &r.node, replica_count) {
+                if is_drained(&partitions, &r.node, replica_count) {
                     telemetry::change!("retired {}: it holds no replicas any more", r.node);
                     let born = shared.leases.get(&r.node).map_or(0, |l| l.born);
                     let finish = FinishRetire {
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -211,7 +211,7 @@
 }
 
 /// Whether nothing is held by a node any more, and all of it stands elsewhere.
-pub fn emptied(partitions: &[Partition], node: &str, replica_count: usize) -> bool {
+pub fn is_drained(partitions: &[Partition], node: &str, replica_count: usize) -> bool {
     !partitions.iter().any(|p| {
         p.owner == node
             || p.replicas.iter().any(|h| h == node)
@@ -341,7 +341,7 @@
                 self.remember(r.order_id);
             }
             CommandPayload::FinishRetire(r) => {
-                let empty = emptied(&self.assignments.partitions, &r.node, r.replica_count as usize);
+                let empty = is_drained(&self.assignments.partitions, &r.node, r.replica_count as usize);
                 let slot =
                     self.assignments.retires.iter_mut().find(|x| x.node == r.node && x.began == r.began && !x.done);
                 let Some(slot) = slot.filter(|_| empty) else {
