--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -123,7 +123,7 @@
             if shared.membership.version != published {
                 self.news.notify_waiters();
             }
-            self.tell_control_nodes(shared);
+            self.update_vote_candidates(shared);
             let live = self.live_machines(shared, now);
             let replica_count = self.settings.tolerance.machines as usize + 1;
             let spread = self.spread();
--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -43,7 +43,7 @@
     }
 
     /// Lets the log know whose sessions stand.
-    pub(crate) fn tell_control_nodes(&self, f: &ControlShared) {
+    pub(crate) fn update_vote_candidates(&self, f: &ControlShared) {
         let control_nodes = f.sessions.values().filter(|s| s.node.role == "control");
         let candidate =
             |s: &Session| Candidate { addr: s.node.inner.clone(), zone: s.node.zone.clone(), leaving: s.node.leaving };
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -250,7 +250,7 @@
                 self.stale.notify_one();
             }
             if f.is_leader && w.node.as_ref().is_some_and(|n| n.role == "control" && n.leaving) {
-                self.tell_control_nodes(f);
+                self.update_vote_candidates(f);
             }
         });
         let wait = tokio::time::sleep(Duration::from_millis(w.wait_ms.min(self.ratio(4.0) as u32) as u64));
