--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -31,7 +31,7 @@
     /// Puts a command into the log; None when it is unclear whether it is in.
     pub async fn propose(&self, word: CommandPayload) -> Option<ApplyResult> {
         let (tx, rx) = oneshot::channel();
-        let data = Command { word: Some(word), at_ms: self.time().unwrap_or(0) }.encode_to_vec();
+        let data = Command { payload: Some(word), at_ms: self.time().unwrap_or(0) }.encode_to_vec();
         self.inputs.send(Input::Propose(data.into(), tx)).ok()?;
         let wait = Duration::from_millis((self.settings.constraints.ack_ms * 0.8) as u64);
         tokio::time::timeout(wait, rx).await.ok()?.ok()?
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -79,7 +79,7 @@
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Command {
     #[prost(oneof = "CommandPayload", tags = "1, 2, 5, 6, 7, 8, 9, 10, 11, 12")]
-    pub word: Option<CommandPayload>,
+    pub payload: Option<CommandPayload>,
     /// The cluster's time when it was proposed, ms; 0 if it was not known.
     #[prost(uint64, tag = "15")]
     pub at_ms: u64,
@@ -245,7 +245,7 @@
         if data.is_empty() {
             return ApplyResult::Done; // The log's own.
         }
-        let Ok(Command { word: Some(word), at_ms }) = Command::decode(data.clone()) else {
+        let Ok(Command { payload: Some(word), at_ms }) = Command::decode(data.clone()) else {
             telemetry::count("commands_undecoded");
             return ApplyResult::Undecoded;
         };
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -638,7 +638,7 @@
     }
 
     fn find_request(&self, e: &RaftEntry) -> Option<usize> {
-        let Some(CommandPayload::Configuration(t)) = Command::decode(e.data.clone()).ok()?.word else { return None };
+        let Some(CommandPayload::Configuration(t)) = Command::decode(e.data.clone()).ok()?.payload else { return None };
         self.requests.iter().position(|c| c.digest == t.digest)
     }
 
@@ -714,7 +714,7 @@
             digest: c.digest.clone(),
             change: Bytes::new(),
         };
-        let data = Command { word: Some(CommandPayload::Configuration(t)), at_ms: 0 }.encode_to_vec();
+        let data = Command { payload: Some(CommandPayload::Configuration(t)), at_ms: 0 }.encode_to_vec();
         self.step(n, Event::Propose(data.into()), Some(request));
     }
 
--- a/crates/control/tests/homes.rs
+++ b/crates/control/tests/homes.rs
@@ -112,7 +112,7 @@
     let mut apply = |state: &mut ControlState, payload| {
         use prost::Message;
         index += 1;
-        state.apply(index, &Command { word: Some(payload), at_ms: 0 }.encode_to_vec().into())
+        state.apply(index, &Command { payload: Some(payload), at_ms: 0 }.encode_to_vec().into())
     };
     let home_command = |region, first| {
         CommandPayload::HomeLayout(Layout { partitions: home_layout(region, &all, first, REPLICA_COUNT, SPREAD) })
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -16,7 +16,7 @@
 
 impl Log {
     fn put(&mut self, word: CommandPayload) -> ApplyResult {
-        self.raw(Command { word: Some(word), at_ms: 0 }.encode_to_vec().into())
+        self.raw(Command { payload: Some(word), at_ms: 0 }.encode_to_vec().into())
     }
 
     fn raw(&mut self, data: Bytes) -> ApplyResult {
@@ -276,7 +276,7 @@
     l.config("replace", 0, 3, WHOLE);
     let before = (l.control_state.clone(), telemetry::get("commands_undecoded"));
     // Noise, a command cut short, and one of a kind that this program does not know.
-    let mut whole = Command { word: Some(CommandPayload::Layout(Layout::default())), at_ms: 0 }.encode_to_vec();
+    let mut whole = Command { payload: Some(CommandPayload::Layout(Layout::default())), at_ms: 0 }.encode_to_vec();
     whole.truncate(1);
     for bad in [&b"\xff\xff\xff"[..], &whole, &[0xfa, 0x01, 0x00]] {
         assert_eq!(l.raw(Bytes::copy_from_slice(bad)), ApplyResult::Undecoded, "{bad:?}");
--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -173,7 +173,7 @@
             digest: request_digest(base, revision),
             change: Bytes::new(),
         };
-        let data = Command { word: Some(CommandPayload::Configuration(t)), at_ms: 0 }.encode_to_vec();
+        let data = Command { payload: Some(CommandPayload::Configuration(t)), at_ms: 0 }.encode_to_vec();
         self.step(n, Event::Propose(data.into()));
     }
 
@@ -500,7 +500,7 @@
         let json = Bytes::from(vec![b' '; 400 << 10]);
         let t =
             PutConfiguration { base: n, revision: n + 1, json, digest: request_digest(n, n + 1), change: Bytes::new() };
-        let data = Command { word: Some(CommandPayload::Configuration(t)), at_ms: 0 }.encode_to_vec();
+        let data = Command { payload: Some(CommandPayload::Configuration(t)), at_ms: 0 }.encode_to_vec();
         w.step(&leader, Event::Propose(data.into()));
         w.run_for(50);
     }
@@ -527,7 +527,7 @@
                 digest: request_digest(n, n + 1),
                 change: Bytes::new(),
             };
-            Event::Propose(Command { word: Some(CommandPayload::Configuration(t)), at_ms: 0 }.encode_to_vec().into())
+            Event::Propose(Command { payload: Some(CommandPayload::Configuration(t)), at_ms: 0 }.encode_to_vec().into())
         };
         for n in 0..30 {
             w.step(&leader, put(n));
