--- a/crates/control/src/cold.rs
+++ b/crates/control/src/cold.rs
@@ -43,7 +43,7 @@
         let now = self.now();
         let lease_ms = self.settings.lease_ms();
         self.with(|shared| {
-            if !shared.holds(now) || shared.later_incarnation(requester) > 0 {
+            if !shared.has_authority(now) || shared.later_incarnation(requester) > 0 {
                 return ColdLeaseAck::default();
             }
             let cold = shared.rate_limited_cold_processors();
--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -16,7 +16,7 @@
 
 impl ControlShared {
     /// Checked whenever authority is used: it runs out by the clock alone.
-    pub(crate) fn holds(&self, now: u64) -> bool {
+    pub(crate) fn has_authority(&self, now: u64) -> bool {
         self.is_leader && now < self.serves_until
     }
 }
@@ -25,7 +25,7 @@
     /// Whether this control node leads and a majority still follows it.
     pub fn holds_leadership(&self) -> bool {
         let now = self.now();
-        self.with(|f| f.holds(now))
+        self.with(|f| f.has_authority(now))
     }
 
     /// Puts a command into the log; None when it is unclear whether it is in.
@@ -108,7 +108,7 @@
     /// authority has run out.
     pub(crate) fn leader(&self) -> String {
         let now = self.now();
-        self.with(|f| if f.leader == self.me && !f.holds(now) { String::new() } else { f.leader.clone() })
+        self.with(|f| if f.leader == self.me && !f.has_authority(now) { String::new() } else { f.leader.clone() })
     }
 
     /// The control address of the leader, if it is another one.
--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -10,7 +10,7 @@
     /// while it is the same before and after was the last word: nobody else led.
     pub(crate) fn authority(&self) -> Option<u64> {
         let now = self.now();
-        self.with(|f| f.holds(now).then_some(f.term))
+        self.with(|f| f.has_authority(now).then_some(f.term))
     }
 
     pub(crate) fn partition(&self, id: u32) -> Option<Partition> {
--- a/crates/control/src/quota.rs
+++ b/crates/control/src/quota.rs
@@ -52,7 +52,7 @@
         let Some(terms) = quota_terms(&self.settings) else { return QuotaResponse::default() };
         let now = self.now();
         self.with(|shared| {
-            if !shared.holds(now) || shared.later_incarnation(&request.node) > 0 {
+            if !shared.has_authority(now) || shared.later_incarnation(&request.node) > 0 {
                 return QuotaResponse::default();
             }
             shared.answer_quota(request, terms, now)
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -159,7 +159,7 @@
 
     /// Whether this control node knows what the platform lists now.
     pub(crate) fn tells_processors(&self, now: u64) -> bool {
-        self.holds(now) && self.listed_at > 0
+        self.has_authority(now) && self.listed_at > 0
     }
 
     /// The leader's term: fences what its holder has the platform do.
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -29,7 +29,7 @@
 
     /// Whether this node publishes the membership: it leads, and remembers what was told.
     pub(crate) fn publishes(&self, now: u64) -> bool {
-        self.holds(now) && now >= self.publish_from
+        self.has_authority(now) && now >= self.publish_from
     }
 
     /// Takes what a node says of itself, from whoever brings it: a later incarnation
@@ -73,7 +73,7 @@
                 if same {
                     f.ended.insert(name.clone(), incarnation);
                 }
-                same && f.holds(now)
+                same && f.has_authority(now)
             });
             if known {
                 telemetry::change!("the process of store node {name} has ended");
@@ -86,7 +86,7 @@
         let now = self.now();
         let leader = self.leader();
         self.with(|f| {
-            if !f.holds(now) || !possible(l.node.incarnation) {
+            if !f.has_authority(now) || !possible(l.node.incarnation) {
                 return LeaseAck { leader, ..LeaseAck::default() };
             }
             f.cluster_clock.hear(&l.node.name, l.clock_ms, now);
@@ -217,7 +217,7 @@
         if !self.settings.constraints.closed {
             return None;
         }
-        if f.holds(self.now()) {
+        if f.has_authority(self.now()) {
             return Some(0);
         }
         f.freshness.moved_to(f.control_state.revision);
@@ -276,7 +276,11 @@
                 steps,
                 assignments: (have.assignments > w.have.assignments)
                     .then(|| f.control_state.assignments.since(w.have.assignments)),
-                leader: if f.leader == self.me && !f.holds(self.now()) { String::new() } else { f.leader.clone() },
+                leader: if f.leader == self.me && !f.has_authority(self.now()) {
+                    String::new()
+                } else {
+                    f.leader.clone()
+                },
                 control_nodes: f
                     .sessions
                     .values()
