--- a/crates/control/src/cluster_clock.rs
+++ b/crates/control/src/cluster_clock.rs
@@ -52,7 +52,7 @@
     }
 
     /// The time that another process carries; taken while none is known here.
-    pub fn hear_carried(&mut self, time_ms: u64, now: u64) {
+    pub fn adopt_carried(&mut self, time_ms: u64, now: u64) {
         if self.clock.is_none() && is_plausible_time(time_ms) {
             self.start(time_ms, now);
         }
@@ -71,7 +71,7 @@
     }
 
     /// A machine's own time of day.
-    pub fn hear(&mut self, node: &str, clock_ms: u64, now: u64) {
+    pub fn record_reading(&mut self, node: &str, clock_ms: u64, now: u64) {
         if is_plausible_time(clock_ms) {
             let reading = Reading { ahead_ms: clock_ms as i64 - now as i64, heard_at: now };
             self.readings.insert(node.to_owned(), reading);
@@ -79,7 +79,7 @@
     }
 
     /// The latest time that a store machine's logs say has passed.
-    pub fn hear_reached(&mut self, reached_ms: u64) {
+    pub fn record_logged(&mut self, reached_ms: u64) {
         if is_plausible_time(reached_ms) {
             self.reached_ms = self.reached_ms.max(reached_ms);
         }
--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -505,7 +505,7 @@
     /// Updates the cluster's time. A leader to which no node has reported a running cluster time
     /// starts it from the logs, after the nodes that may know it have had time to report it.
     pub(crate) fn update_cluster_clock(&self, shared: &mut ControlShared, now: u64) {
-        shared.cluster_clock.hear(&self.settings.node, telemetry::wall_ms(), now);
+        shared.cluster_clock.record_reading(&self.settings.node, telemetry::wall_ms(), now);
         let quorum = Self::clock_quorum(shared);
         if now > shared.leader_since + self.ratio(16.0) {
             shared.cluster_clock.start_from_logs(shared.control_state.reached_ms, quorum, now);
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -89,9 +89,9 @@
             if !f.has_authority(now) || !possible(l.node.incarnation) {
                 return LeaseAck { leader, ..LeaseAck::default() };
             }
-            f.cluster_clock.hear(&l.node.name, l.clock_ms, now);
-            f.cluster_clock.hear_carried(l.time_ms, now);
-            f.cluster_clock.hear_reached(l.reached_ms);
+            f.cluster_clock.record_reading(&l.node.name, l.clock_ms, now);
+            f.cluster_clock.adopt_carried(l.time_ms, now);
+            f.cluster_clock.record_logged(l.reached_ms);
             if f.cluster_clock.time(now).is_none() {
                 self.update_cluster_clock(f, now);
             }
@@ -231,10 +231,10 @@
             let mut changed = false;
             if let Some(n) = &w.node {
                 newer_incarnation = f.later_incarnation(n);
-                f.cluster_clock.hear(&n.name, w.clock_ms, now);
+                f.cluster_clock.record_reading(&n.name, w.clock_ms, now);
                 f.unidentified.report(&n.name, &w.unidentified);
             }
-            f.cluster_clock.hear_carried(w.time_ms, now);
+            f.cluster_clock.adopt_carried(w.time_ms, now);
             if f.is_leader
                 && f.membership.version == 0
                 && w.have.membership > 0
--- a/crates/control/tests/clock_steps.rs
+++ b/crates/control/tests/clock_steps.rs
@@ -199,17 +199,17 @@
         let (at, leader) = (self.at, self.leader);
         let now = self.machines[leader].steady(at);
         for (n, m) in self.machines.iter().enumerate() {
-            self.control[leader].hear(&format!("machine-{n}"), m.wall(at), now);
+            self.control[leader].record_reading(&format!("machine-{n}"), m.wall(at), now);
         }
         for n in 0..MACHINES {
             if let Some(t) = self.control[n].time(self.machines[n].steady(at)) {
-                self.control[leader].hear_carried(t, now);
+                self.control[leader].adopt_carried(t, now);
             }
             if let Some(t) = self.carried[n].time(self.store(n).steady(at)) {
-                self.control[leader].hear_carried(t, now);
+                self.control[leader].adopt_carried(t, now);
             }
             let reached = self.partition[n].latest_time(self.store(n).steady(at));
-            self.control[leader].hear_reached(reached);
+            self.control[leader].record_logged(reached);
         }
         if at >= self.leads_since + LEADER_WAIT_MS {
             self.control[leader].start_from_logs(self.logged_ms, MACHINES + 1, now);
--- a/crates/control/tests/clocks.rs
+++ b/crates/control/tests/clocks.rs
@@ -16,7 +16,7 @@
         let step = if n < off { by } else { 0 };
         // Clocks differ a little in any case.
         let skew = n as i64 % 7 - 3;
-        c.hear(&format!("store-{n:02}"), (TRUE as i64 + now as i64 + step + skew) as u64, now);
+        c.record_reading(&format!("store-{n:02}"), (TRUE as i64 + now as i64 + step + skew) as u64, now);
     }
 }
 
@@ -77,11 +77,11 @@
     for by in [-90_000, 0, 90_000] {
         let mut c = new_clock();
         hear(&mut c, 1_000, 6, 6, by);
-        c.hear_reached(TRUE - 3_000);
+        c.record_logged(TRUE - 3_000);
         c.start_from_logs(TRUE - 4_000, 4, 1_000);
         assert_eq!(c.time(1_000), Some(TRUE - 3_000));
         let mut c = new_clock();
-        c.hear_reached(TRUE - 5_000);
+        c.record_logged(TRUE - 5_000);
         c.start_from_logs(TRUE - 4_000, 4, 1_000);
         assert_eq!(c.time(1_000), Some(TRUE - 4_000), "nor below what the control log says");
     }
@@ -90,12 +90,12 @@
 #[test]
 fn a_new_leader_goes_on_with_the_time_that_is_carried() {
     let mut c = new_clock();
-    c.hear_carried(0, 900);
-    c.hear_carried(u64::MAX, 900);
+    c.adopt_carried(0, 900);
+    c.adopt_carried(u64::MAX, 900);
     assert_eq!(c.time(900), None);
-    c.hear_carried(TRUE, 1_000);
+    c.adopt_carried(TRUE, 1_000);
     // What others carry, and what logs say, moves it no more.
-    c.hear_carried(TRUE + 90_000, 1_000);
+    c.adopt_carried(TRUE + 90_000, 1_000);
     c.start_from_logs(TRUE + 90_000, 1, 1_000);
     c.begin_term();
     assert_eq!(c.time(4_000), Some(TRUE + 3_000));
