--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -121,7 +121,7 @@
                 Self::refresh_membership(shared, now);
             }
             if shared.membership.version != published {
-                self.news.notify_waiters();
+                self.view_changed.notify_waiters();
             }
             self.update_vote_candidates(shared);
             let live = self.live_machines(shared, now);
@@ -487,7 +487,7 @@
                     Self::refresh_membership(shared, now);
                     shared.returned_zones_listed(listing_began.saturating_sub(lag), now)
                 });
-                self.news.notify_waiters();
+                self.view_changed.notify_waiters();
                 for known in cold_known {
                     self.propose(CommandPayload::ColdKnown(known)).await;
                 }
--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -276,7 +276,7 @@
                 if let Some((term, a)) = waiting.remove(&e.index) {
                     let _ = a.send((term == e.term).then_some(applied));
                 }
-                control.news.notify_waiters();
+                control.view_changed.notify_waiters();
             }
             Effect::Restore(state) => {
                 match ControlState::decode(state) {
@@ -292,7 +292,7 @@
                         std::process::exit(3);
                     }
                 }
-                control.news.notify_waiters();
+                control.view_changed.notify_waiters();
             }
             Effect::BecameLeader => {
                 telemetry::change!("leader at term {}", raft.hard.term);
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -172,7 +172,7 @@
     pub settings: Settings,
     pub me: String,
     pub(crate) shared: Mutex<ControlShared>,
-    pub(crate) news: Notifier,
+    pub(crate) view_changed: Notifier,
     /// What nodes told has changed what is to be published.
     pub(crate) stale: Notifier,
     /// A store node has its first lease of this leader or of a new incarnation: its
@@ -386,7 +386,7 @@
             returning_since: HashMap::new(),
             shares: (0, 0, HashMap::new()),
         }),
-        news: Notifier::new(),
+        view_changed: Notifier::new(),
         stale: Notifier::new(),
         assign_soon: Notifier::new(),
         inputs,
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -206,7 +206,7 @@
             });
             if moved {
                 telemetry::count("memberships_published");
-                self.news.notify_waiters();
+                self.view_changed.notify_waiters();
             }
         }
     }
@@ -256,7 +256,7 @@
         let wait = tokio::time::sleep(Duration::from_millis(w.wait_ms.min(self.ratio(4.0) as u32) as u64));
         tokio::pin!(wait);
         loop {
-            let wake = self.news.notified();
+            let wake = self.view_changed.notified();
             let newer = self.with(|f| {
                 let h = Self::have(f);
                 h.configuration > w.have.configuration
@@ -390,7 +390,7 @@
                             f.processors.clone_from(&f.membership.processors);
                         }
                         f.listed = f.membership.listed;
-                        self.news.notify_waiters();
+                        self.view_changed.notify_waiters();
                     }
                 }),
                 _ => {
