--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -127,15 +127,15 @@
             let live = self.live_machines(shared, now);
             let replica_count = self.settings.tolerance.machines as usize + 1;
             let spread = self.spread();
-            if shared.steady.0 != live.len() {
-                shared.steady = (live.len(), now);
+            if shared.store_count_since.0 != live.len() {
+                shared.store_count_since = (live.len(), now);
             }
             if shared.control_state.assignments.partitions.is_empty() {
                 let zones = self.settings.zones.len().max(1);
                 let has_waited = shared.first_store_at != 0 && now > shared.first_store_at + self.ratio(2.0);
                 // The initial layout fixes the number of partitions, so wait until no more machines
                 // have arrived for a while.
-                let is_steady = now > shared.steady.1 + self.ratio(8.0);
+                let is_steady = now > shared.store_count_since.1 + self.ratio(8.0);
                 if is_steady && (live.len() >= zones.max(replica_count) || (has_waited && live.len() >= replica_count))
                 {
                     let mut partitions = layout(&live, replica_count, spread);
@@ -200,7 +200,7 @@
                     Self::is_alive(shared, now, lease, n)
                         && l.claims.iter().any(|c| c.partition == p.id && c.term >= p.term)
                 });
-                let unclaimed_since = shared.unclaimed.get(&p.id).copied().unwrap_or(now);
+                let unclaimed_since = shared.unclaimed_since.get(&p.id).copied().unwrap_or(now);
                 let is_abandoned = !is_claimed && now > unclaimed_since + 3 * lease && updated.is_none();
                 if is_abandoned {
                     updated = revived_partition();
@@ -209,9 +209,9 @@
                     updated = assessor.replace_slow_replica(p, &partitions, &healthy, spread);
                 }
                 if is_claimed || is_abandoned {
-                    shared.unclaimed.remove(&p.id);
+                    shared.unclaimed_since.remove(&p.id);
                 } else {
-                    shared.unclaimed.entry(p.id).or_insert(now);
+                    shared.unclaimed_since.entry(p.id).or_insert(now);
                 }
                 if let Some(updated) = updated {
                     if updated.term != p.term {
@@ -263,7 +263,7 @@
             // so it receives no partitions for balance until the settling time is over.
             let reserved_ms = (self.settings.constraints.settle_s * 1000.0) as u64;
             if commands.is_empty()
-                && now > shared.steady.1 + reserved_ms
+                && now > shared.store_count_since.1 + reserved_ms
                 && let Some(updated) = rebalance(&partitions, &healthy)
             {
                 telemetry::change!("partition {} replicas {:?}, for balance", updated.id, updated.replicas);
--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -307,7 +307,7 @@
                     f.rollout_monitors.clear();
                     f.leases.clear();
                     f.cluster_clock.begin_term();
-                    f.unclaimed.clear();
+                    f.unclaimed_since.clear();
                     f.ownership_watch.clear();
                     // Who told another control node is taken over, and must tell again.
                     for n in f.membership.nodes.clone() {
--- a/crates/control/src/scaler.rs
+++ b/crates/control/src/scaler.rs
@@ -15,7 +15,7 @@
     /// membership has changed since.
     fn update_shares(&mut self) {
         let version = (self.membership.version, self.listed_at());
-        if (self.shares.0, self.shares.1) == version {
+        if (self.processor_shares.0, self.processor_shares.1) == version {
             return;
         }
         let fronts = rpc::fronts(&self.membership);
@@ -28,7 +28,7 @@
             share.digest = digest ^ u64::from(u.draining);
             share.processors.push(u.clone());
         }
-        self.shares = (version.0, version.1, all);
+        self.processor_shares = (version.0, version.1, all);
     }
 }
 
@@ -98,7 +98,7 @@
                 return Processors::default();
             }
             shared.update_shares();
-            match shared.shares.2.get(&a.front) {
+            match shared.processor_shares.2.get(&a.front) {
                 Some(u) if u.digest == a.digest => Processors { processors: Vec::new(), ..u.clone() },
                 Some(u) => u.clone(),
                 None => Processors { known: true, processors: Vec::new(), digest: 1 },
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -93,12 +93,12 @@
     pub(crate) rollout_monitors: HashMap<String, RolloutMonitor>,
     pub(crate) first_store_at: u64,
     /// How many store nodes there are, and since when.
-    pub(crate) steady: (usize, u64),
+    pub(crate) store_count_since: (usize, u64),
     /// Owners from which partitions are being taken: they get no lease meanwhile, by
     /// which they would go on beside their successors.
     pub(crate) seizing: HashSet<String>,
     /// Since when nobody acts as a partition's owner.
-    pub(crate) unclaimed: HashMap<u32, u64>,
+    pub(crate) unclaimed_since: HashMap<u32, u64>,
     pub(crate) ownership_watch: OwnershipWatch,
     pub(crate) cluster_clock: ClusterClock,
     pub(crate) unidentified: UnidentifiedProcessors,
@@ -122,7 +122,7 @@
     /// Zones that were taken back, by the index of that order: since when this leader knows.
     pub(crate) returning_since: HashMap<u64, u64>,
     /// The processors that each front is told, made once for a listing and a membership.
-    pub(crate) shares: (u64, u64, HashMap<String, Processors>),
+    pub(crate) processor_shares: (u64, u64, HashMap<String, Processors>),
 }
 
 impl ControlShared {
@@ -362,9 +362,9 @@
             listed: false,
             rollout_monitors: HashMap::new(),
             first_store_at: 0,
-            steady: (0, 0),
+            store_count_since: (0, 0),
             seizing: HashSet::new(),
-            unclaimed: HashMap::new(),
+            unclaimed_since: HashMap::new(),
             ownership_watch: OwnershipWatch::default(),
             unidentified: UnidentifiedProcessors::default(),
             cluster_clock: ClusterClock::new(
@@ -384,7 +384,7 @@
             cold_leases: ColdLeases::default(),
             quota_leases: QuotaLeases::default(),
             returning_since: HashMap::new(),
-            shares: (0, 0, HashMap::new()),
+            processor_shares: (0, 0, HashMap::new()),
         }),
         view_changed: Notifier::new(),
         stale: Notifier::new(),
