--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -382,7 +382,7 @@
                         let own = self.node();
                         f.sessions.insert(own.name.clone(), Session { node: own, seen: u64::MAX / 2 });
                     }
-                    f.unidentified.told(n.unidentified.clone());
+                    f.unidentified.set_from_leader(n.unidentified.clone());
                     if let Some(r) = n.told_membership()
                         && f.membership.take(&r)
                     {
