--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,5 +1,5 @@
-//! The control plane: the majority log, sessions, leases, duties, and the
-//! operator's interface.
+//! The control plane: the replicated log, sessions, leases, the leader's duties, and the
+//! operator HTTP API.
 
 mod assignment;
 mod cluster_clock;
