--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -1,4 +1,4 @@
-//! What a control node keeps on its disk: the vote record, the snapshot, the log.
+//! Durable state of a control node: the vote record, the snapshot and the log.
 
 use crate::state::ControlState;
 use bytes::Bytes;
@@ -13,56 +13,58 @@
     wal::key(kind, 0, index)
 }
 
-/// What was found on the disk.
+/// What was read from the disk at the start.
 pub struct StoredState {
     pub hard: HardState,
-    /// The snapshot as of `hard.base`, as it was written.
+    /// The encoded snapshot as of entry `hard.base`.
     pub state: Bytes,
-    /// The entries behind it, without a gap.
+    /// The entries after the snapshot, without a gap.
     pub log: Vec<RaftEntry>,
-    /// The snapshot, read.
+    /// The decoded snapshot.
     pub control_state: ControlState,
-    /// Nothing was there.
+    /// The disk held no vote record.
     pub fresh: bool,
 }
 
-/// Opens the disk and reads what it holds. Records that contradict each other are
-/// never made the best of: the error says what is wrong and what to do.
+/// Opens the disk and reads its records. Records that contradict each other are never
+/// repaired or partly used: the error says what is wrong and what to do.
 pub(crate) fn load(settings: &Settings) -> Result<(Wal, StoredState), String> {
     let (mut hard, mut state, mut log) = (None::<HardState>, Bytes::new(), Vec::new());
-    let mut broken = None;
+    let mut decode_error = None;
     let wal = Wal::open(&settings.data_dir, settings.limits.disk_mb, settings.limits.memory_mb, |k, v| match k[0] {
         b'h' => match HardState::decode(v) {
             Ok(h) => hard = Some(h),
-            Err(e) => broken = Some(format!("the vote record: {e}")),
+            Err(e) => decode_error = Some(format!("the vote record: {e}")),
         },
         b'b' => state = Bytes::copy_from_slice(v),
         b'e' => match RaftEntry::decode(v) {
             Ok(e) => log.push(e),
-            Err(e) => broken = Some(format!("a log entry: {e}")),
+            Err(e) => decode_error = Some(format!("a log entry: {e}")),
         },
         _ => {}
     })?;
-    let advice = |what: String| format!("{}: {what}; empty this disk and the others will fill it", settings.data_dir);
-    if let Some(b) = broken {
-        return Err(advice(b));
+    let with_remedy = |what: String| {
+        format!("{}: {what}; empty this disk, and it is filled again from the other control nodes", settings.data_dir)
+    };
+    if let Some(e) = decode_error {
+        return Err(with_remedy(e));
     }
     let fresh = hard.is_none();
     if fresh && (!log.is_empty() || !state.is_empty()) {
-        return Err(advice("the vote record is missing".into()));
+        return Err(with_remedy("the vote record is missing".into()));
     }
-    // Only the first start of all takes the voters from the seeds; any later
-    // newcomer is told them by the log.
+    // Only the initial start of the cluster takes the voters from the seeds; a control node
+    // that joins later learns them from the log.
     let hard = hard.unwrap_or_else(|| HardState {
         voters: if settings.initial_start { settings.seed_control_nodes() } else { Vec::new() },
         may_vote: settings.initial_start,
         ..HardState::default()
     });
-    StoredState::check(hard, state, log, fresh).map(|kept| (wal, kept)).map_err(advice)
+    StoredState::check(hard, state, log, fresh).map(|stored| (wal, stored)).map_err(with_remedy)
 }
 
 impl StoredState {
-    /// Whether the records agree with each other. Entries come in any order.
+    /// Checks that the records agree with each other. `log` may be in any order.
     pub fn check(hard: HardState, state: Bytes, mut log: Vec<RaftEntry>, fresh: bool) -> Result<StoredState, String> {
         log.retain(|e| e.index > hard.base);
         log.sort_by_key(|e| e.index);
@@ -78,20 +80,20 @@
             term = e.term;
         }
         if term > hard.term {
-            return Err(format!("the log has term {term}, the vote record only {}", hard.term));
+            return Err(format!("the log has term {term}, but the vote record has term {}", hard.term));
         }
         if hard.base > 0 && hard.voters.is_empty() {
             return Err(format!("no voters as of entry {}", hard.base));
         }
         let mut control_state = match (hard.base, ControlState::decode(state.clone())) {
             (0, _) => ControlState::default(),
-            (_, Ok(r)) if !state.is_empty() => r,
-            (at, _) => return Err(format!("the state as of entry {at} cannot be read")),
+            (_, Ok(decoded)) if !state.is_empty() => decoded,
+            (base, _) => return Err(format!("the state as of entry {base} cannot be read")),
         };
-        // A state that does not say through which entry it is comes from an earlier release.
+        // Earlier releases wrote snapshots without the index of the last applied entry.
         if control_state.applied != 0 && control_state.applied != hard.base {
             return Err(format!(
-                "the state is as of entry {}, the vote record says {}",
+                "the state is as of entry {}, but the vote record says {}",
                 control_state.applied, hard.base
             ));
         }
@@ -100,6 +102,7 @@
     }
 }
 
+/// Writes the changes in one batch and waits until they are durable.
 pub(crate) async fn save(wal: &Wal, s: Save) {
     let mut ops = Vec::new();
     if let Some((a, b)) = s.del {
