--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -1,5 +1,5 @@
-//! Authority: who leads, until when this control node may act for the majority, and the
-//! task that steps the log and carries out its effects.
+//! Leadership: which control node leads, until when this one may act for the majority, and the
+//! task that drives Raft and executes its effects.
 
 use crate::service::*;
 use crate::state::*;
@@ -15,34 +15,36 @@
 use wal::Wal;
 
 impl ControlShared {
-    /// Checked whenever authority is used: it runs out by the clock alone.
+    /// Whether this control node may act for the majority. To be checked at every use, as the
+    /// authority expires by the clock alone.
     pub(crate) fn has_authority(&self, now: u64) -> bool {
         self.is_leader && now < self.serves_until
     }
 }
 
 impl ControlService {
-    /// Whether this control node leads and a majority still follows it.
+    /// Whether this control node leads and a majority follows it.
     pub fn holds_leadership(&self) -> bool {
         let now = self.now();
         self.with(|f| f.has_authority(now))
     }
 
-    /// Puts a command into the log; None when it is unclear whether it is in.
-    pub async fn propose(&self, word: CommandPayload) -> Option<ApplyResult> {
+    /// Proposes a command and waits for its result; None if it is unknown whether the command
+    /// was committed.
+    pub async fn propose(&self, payload: CommandPayload) -> Option<ApplyResult> {
         let (tx, rx) = oneshot::channel();
-        let data = Command { payload: Some(word), at_ms: self.time().unwrap_or(0) }.encode_to_vec();
+        let data = Command { payload: Some(payload), at_ms: self.time().unwrap_or(0) }.encode_to_vec();
         self.inputs.send(Input::Propose(data.into(), tx)).ok()?;
         let wait = Duration::from_millis((self.settings.constraints.ack_ms * 0.8) as u64);
         tokio::time::timeout(wait, rx).await.ok()?.ok()?
     }
 
-    /// How many voters there are to be.
+    /// The target number of voters.
     pub(crate) fn wanted_voters(&self) -> usize {
         (2 * self.settings.tolerance.machines as usize + 1).max(3)
     }
 
-    /// Lets the log know whose sessions stand.
+    /// Passes the control nodes with a live session to the Raft task, as candidates for a vote.
     pub(crate) fn update_vote_candidates(&self, f: &ControlShared) {
         let control_nodes = f.sessions.values().filter(|s| s.node.role == "control");
         let candidate =
@@ -50,13 +52,13 @@
         let _ = self.inputs.send(Input::ControlNodes(control_nodes.map(candidate).collect()));
     }
 
-    /// Told to end: names a successor if it leads, and waits until its vote has passed
-    /// on, where a control node without one is there to take it; no longer than half of
-    /// `graceS`. A vote that stays with it counts as lost until it is back.
+    /// Prepares for shutdown: names a successor if this node leads, and waits until its vote has
+    /// been transferred, if a control node without a vote can take it; at most half of `graceS`.
+    /// A vote that is not transferred counts as lost until this node is back.
     pub(crate) async fn leave(self: &Arc<Self>) {
         self.leaving.store(true, Ordering::Relaxed);
         let _ = self.inputs.send(Input::Leave);
-        let end =
+        let deadline =
             tokio::time::Instant::now() + Duration::from_millis((self.settings.constraints.grace_s * 500.0) as u64);
         let step = Duration::from_millis(self.ratio(100.0));
         let own = self.node();
@@ -65,16 +67,16 @@
                 s.node = own;
             }
         });
-        // Whoever was there without a vote when it was told: the next leader's membership may
-        // not name it yet.
+        // Collects the control nodes seen without a vote, as the membership of the next leader
+        // may not list them yet.
         let mut free = HashSet::new();
         loop {
-            let (votes, spare) = self.with(|f| {
+            let (votes, transferable) = self.with(|f| {
                 let votes = f.voters.contains(&self.me) || !f.voters_settled;
                 let known = f.membership.nodes.iter().chain(f.sessions.values().map(|s| &s.node));
                 let others = known.filter(|n| n.role == "control" && !n.leaving && n.inner != self.me);
                 free.extend(others.filter(|n| !f.voters.contains(&n.inner)).map(|n| n.inner.clone()));
-                // While one changes it may be this one's that passes on.
+                // A change of voters in progress may transfer this node's vote.
                 let changing = !f.voters_settled || f.voters.len() > self.wanted_voters();
                 (votes, changing || free.iter().any(|n| !f.voters.contains(n)))
             });
@@ -82,12 +84,12 @@
                 telemetry::change!("the vote has passed on");
                 return;
             }
-            if !spare {
+            if !transferable {
                 return;
             }
-            if tokio::time::Instant::now() >= end {
+            if tokio::time::Instant::now() >= deadline {
                 telemetry::count("votes_kept");
-                telemetry::change!("ends with its vote: nobody took it in time");
+                telemetry::change!("shutting down with its vote: no control node took it over in time");
                 return;
             }
             let leader = self.leader();
@@ -104,14 +106,14 @@
         }
     }
 
-    /// Who leads, as far as is known: nobody, once this control node's own
-    /// authority has run out.
+    /// The address of the leader as far as it is known; empty if this control node led and its
+    /// authority has expired.
     pub(crate) fn leader(&self) -> String {
         let now = self.now();
         self.with(|f| if f.leader == self.me && !f.has_authority(now) { String::new() } else { f.leader.clone() })
     }
 
-    /// The control address of the leader, if it is another one.
+    /// The operator API address of the leader, if another control node leads.
     pub fn leader_control(&self) -> Option<String> {
         let leader = self.leader();
         if leader.is_empty() || leader == self.me {
@@ -123,85 +125,85 @@
     }
 }
 
-/// The one task that steps the log.
-pub(crate) async fn turn(
+/// The only task that steps Raft.
+pub(crate) async fn run_raft(
     control: Arc<ControlService>,
     raft: RaftNode,
     wal: Wal,
     mut rx: mpsc::UnboundedReceiver<Input>,
 ) {
-    let mut ticks = tokio::time::interval(Duration::from_millis(control.ratio(100.0)));
-    ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let wanted = control.wanted_voters();
-    // Large configurations fill the log long before it is long.
-    let heavy = (control.settings.limits.memory_mb as usize) << 20 >> 6;
-    let away = (control.settings.constraints.settle_s * 500.0) as u64;
-    let mut hand = LeaderLoop {
+    let mut ticker = tokio::time::interval(Duration::from_millis(control.ratio(100.0)));
+    ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    let wanted_voters = control.wanted_voters();
+    // Large configurations can exhaust memory long before the log has many entries.
+    let max_log_bytes = (control.settings.limits.memory_mb as usize) << 20 >> 6;
+    let replace_after_ms = (control.settings.constraints.settle_s * 500.0) as u64;
+    let mut driver = RaftDriver {
         control,
         raft,
         wal,
-        waiting: HashMap::new(),
-        answer: None,
+        pending: HashMap::new(),
+        proposer: None,
         control_nodes: Vec::new(),
-        wanted,
-        away,
+        wanted_voters,
+        replace_after_ms,
     };
     loop {
         let event = tokio::select! {
             i = rx.recv() => match i {
                 Some(Input::RaftNode(m)) => Event::Message(m),
-                Some(Input::Propose(d, a)) => { hand.answer = Some(a); Event::Propose(d) }
+                Some(Input::Propose(d, a)) => { driver.proposer = Some(a); Event::Propose(d) }
                 Some(Input::Leave) => Event::Leave,
                 Some(Input::ControlNodes(all)) => {
-                    hand.raft.set_departing(all.iter().filter(|f| f.leaving).map(|f| f.addr.clone()).collect());
-                    hand.control_nodes = all;
-                    hand.tend_voters().await;
-                    Event::ControlNodes(hand.control_nodes.iter().map(|f| f.addr.clone()).collect())
+                    driver.raft.set_departing(all.iter().filter(|f| f.leaving).map(|f| f.addr.clone()).collect());
+                    driver.control_nodes = all;
+                    driver.adjust_voters().await;
+                    Event::ControlNodes(driver.control_nodes.iter().map(|f| f.addr.clone()).collect())
                 }
                 None => return,
             },
-            _ = ticks.tick() => Event::Tick,
+            _ = ticker.tick() => Event::Tick,
         };
         let ticked = matches!(event, Event::Tick);
-        hand.step(event).await;
-        hand.answer = None;
-        if hand.raft.voters().len() > wanted {
-            // One too many, perhaps a lost one among them: not a moment longer than needed.
-            hand.tend_voters().await;
+        driver.step(event).await;
+        driver.proposer = None;
+        if driver.raft.voters().len() > wanted_voters {
+            // With a surplus voter that may be lost, no further loss is tolerated: remove it at once.
+            driver.adjust_voters().await;
         }
-        // Not behind the back of one that is being sent the last cut, unless it takes long.
-        let room = if hand.raft.is_sending_snapshot() { 2 } else { 1 };
-        if hand.raft.log_len() > 512 * room || hand.raft.applied_log_bytes() > heavy * room {
-            hand.cut().await;
+        // A newer snapshot would replace the one that is being sent to a follower, so the limits
+        // are doubled meanwhile.
+        let factor = if driver.raft.is_sending_snapshot() { 2 } else { 1 };
+        if driver.raft.log_len() > 512 * factor || driver.raft.applied_log_bytes() > max_log_bytes * factor {
+            driver.take_snapshot().await;
         }
-        hand.tell(ticked);
+        driver.publish_status(ticked);
     }
 }
 
-/// Carries out what the log asks for, in its order.
-struct LeaderLoop {
+/// Steps Raft and executes its effects in order.
+struct RaftDriver {
     control: Arc<ControlService>,
     raft: RaftNode,
     wal: Wal,
-    /// Who waits for which entry, and its term.
-    waiting: HashMap<u64, (u64, Answered)>,
-    /// Who waits for the proposal that is being made.
-    answer: Option<Answered>,
-    /// The control nodes whose sessions stood when that was told last.
+    /// Proposals that wait for their entry to be applied: its term and the reply, by index.
+    pending: HashMap<u64, (u64, Answered)>,
+    /// The reply for the proposal that is being stepped.
+    proposer: Option<Answered>,
+    /// The control nodes with a live session, as last received.
     control_nodes: Vec<Candidate>,
-    /// How many voters there are to be, and after how long a silence, in
-    /// milliseconds, one is replaced.
-    wanted: usize,
-    away: u64,
+    wanted_voters: usize,
+    /// A voter that is silent for this long is replaced.
+    replace_after_ms: u64,
 }
 
-impl LeaderLoop {
-    /// What is to become of the voters, as things stand.
-    async fn tend_voters(&mut self) {
+impl RaftDriver {
+    /// Adds or removes a voter if a change is called for.
+    async fn adjust_voters(&mut self) {
         let now = self.control.now();
         let all: Vec<(String, String)> = self.control_nodes.iter().map(|f| (f.addr.clone(), f.zone.clone())).collect();
-        if let Some(v) = self.raft.next_voters(&all, self.wanted, self.away, now) {
-            telemetry::change!("voters {v:?}");
+        if let Some(v) = self.raft.next_voters(&all, self.wanted_voters, self.replace_after_ms, now) {
+            telemetry::change!("changing the voters to {v:?}");
             self.step(Event::SetVoters(v)).await;
         }
     }
@@ -209,21 +211,21 @@
     async fn step(&mut self, event: Event) {
         let now = self.control.now();
         for e in self.raft.step(now, event) {
-            self.carry_out(e).await;
+            self.execute(e).await;
         }
     }
 
-    /// Cuts the log. The snapshot is the state as it stands now, and says itself
-    /// through which entry that is: all that the log asked for before is carried out.
-    async fn cut(&mut self) {
+    /// Takes a snapshot and truncates the log. The snapshot is the current state, which records
+    /// its last applied entry: all earlier effects have been executed.
+    async fn take_snapshot(&mut self) {
         let (index, state) = self.control.with(|f| (f.control_state.applied, f.control_state.encode_to_vec()));
         telemetry::count("log_cuts");
-        telemetry::debug!("log cut at {index}: {} bytes of state", state.len());
+        telemetry::debug!("log truncated at entry {index}: snapshot of {} bytes", state.len());
         self.step(Event::Snapshot { index, state: state.into() }).await;
     }
 
-    /// Lets the other tasks know how things stand.
-    fn tell(&self, ticked: bool) {
+    /// Publishes the Raft status to the other tasks.
+    fn publish_status(&self, ticked: bool) {
         let raft = &self.raft;
         let now = self.control.now();
         self.control.with(|f| {
@@ -239,17 +241,17 @@
         });
     }
 
-    async fn carry_out(&mut self, e: Effect) {
-        let LeaderLoop { control, raft, wal, waiting, answer, .. } = self;
+    async fn execute(&mut self, e: Effect) {
+        let RaftDriver { control, raft, wal, pending, proposer, .. } = self;
         match e {
             Effect::Save(s) => {
                 let saving = save(wal, s);
                 tokio::pin!(saving);
-                let patience = Duration::from_millis(control.ratio(32.0));
-                if tokio::time::timeout(patience, &mut saving).await.is_err() {
+                let disk_timeout = Duration::from_millis(control.ratio(32.0));
+                if tokio::time::timeout(disk_timeout, &mut saving).await.is_err() {
                     if raft.role == StateRole::Leader && raft.voters().len() > 1 {
-                        // It cannot write, so it cannot lead: another one can at once.
-                        telemetry::change!("the disk does not answer: naming a successor");
+                        // A leader that cannot write cannot commit; another node can lead at once.
+                        telemetry::change!("the disk does not respond: naming a successor");
                         for e in raft.step(control.now(), Event::StepDown) {
                             if let Effect::Send(to, m) = e {
                                 control.rpc_clients.to(&to).send(Body::RaftNode(m));
@@ -260,20 +262,20 @@
                             f.serves_until = 0;
                             f.leader.clear();
                         });
-                        waiting.clear();
+                        pending.clear();
                     }
                     saving.await;
                 }
             }
             Effect::Send(to, m) => control.rpc_clients.to(&to).send(Body::RaftNode(m)),
             Effect::Proposed(index, term) => {
-                if let Some(a) = answer.take() {
-                    waiting.insert(index, (term, a));
+                if let Some(a) = proposer.take() {
+                    pending.insert(index, (term, a));
                 }
             }
             Effect::Apply(e) => {
                 let applied = control.with(|f| f.control_state.apply_with(&mut f.document, e.index, &e.data));
-                if let Some((term, a)) = waiting.remove(&e.index) {
+                if let Some((term, a)) = pending.remove(&e.index) {
                     let _ = a.send((term == e.term).then_some(applied));
                 }
                 control.view_changed.notify_waiters();
@@ -281,21 +283,21 @@
             Effect::Restore(state) => {
                 match ControlState::decode(state) {
                     Ok(mut control_state) => control.with(|f| {
-                        // One that does not say so is of an earlier release.
+                        // Earlier releases wrote snapshots without this index.
                         control_state.applied = raft.hard.base;
                         f.control_state = control_state;
                         f.document = config::ConfigurationDocument::default();
                     }),
                     Err(e) => {
-                        // Never go on with a blank one.
-                        telemetry::error!("the state that the leader sent cannot be read, ending: {e}");
+                        // Continuing would mean to run with an empty state.
+                        telemetry::error!("cannot decode the snapshot that the leader sent, exiting: {e}");
                         std::process::exit(3);
                     }
                 }
                 control.view_changed.notify_waiters();
             }
             Effect::BecameLeader => {
-                telemetry::change!("leader at term {}", raft.hard.term);
+                telemetry::change!("became leader in term {}", raft.hard.term);
                 let now = control.now();
                 control.with(|f| {
                     f.is_leader = true;
@@ -309,7 +311,8 @@
                     f.cluster_clock.begin_term();
                     f.unclaimed_since.clear();
                     f.ownership_watch.clear();
-                    // Who told another control node is taken over, and must tell again.
+                    // Sessions that nodes held with another control node are taken over; the nodes
+                    // must report again.
                     for n in f.membership.nodes.clone() {
                         let node = Node { changed: 0, ..n };
                         f.sessions.entry(node.name.clone()).or_insert(Session { node, seen: now });
@@ -319,7 +322,7 @@
             Effect::SteppedDown => {
                 telemetry::change!("no longer the leader");
                 control.with(|f| f.is_leader = false);
-                waiting.clear();
+                pending.clear();
             }
         }
     }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -4,7 +4,7 @@
 use crate::cluster_clock::ClusterClock;
 use crate::cold::ColdLeases;
 use crate::instance_launcher::InstanceLauncher;
-use crate::leadership::turn;
+use crate::leadership::run_raft;
 use crate::ownership_watch::OwnershipWatch;
 use crate::quota::QuotaLeases;
 use crate::rollout::RolloutMonitor;
@@ -420,7 +420,7 @@
     }
     let s = control.clone();
     tokio::spawn(async move { s.list_processors(settings_updates).await });
-    tokio::spawn(turn(control.clone(), raft, wal, rx));
+    tokio::spawn(run_raft(control.clone(), raft, wal, rx));
     tokio::spawn(control.clone().watch_for_pauses());
     let s = control.clone();
     let (close, closing) = watch::channel(http1::Closing::Open);
