--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -311,7 +311,7 @@
                 "voters": f.voters, "clocks": clocks,
                 "clockCorrectionMs": f.cluster_clock.correction_ms(now), "behind": behind, "disks": disks,
                 "quotas": if f.is_leader { f.quota_leases.status() } else { serde_json::json!([]) },
-                "evacuations": crate::operator::evacuations(f)["evacuations"],
+                "evacuations": crate::operator::evacuations_json(f)["evacuations"],
                 "unidentified": unidentified, "revision": f.control_state.revision, "assignments": f.control_state.assignments.version, "membership": f.membership.version,
                 "units": f.membership.processors.len(), "partitions": parts, "nodes": nodes, "counters": telemetry::render()})
             .to_string()
