--- a/crates/control/src/scaler.rs
+++ b/crates/control/src/scaler.rs
@@ -94,7 +94,7 @@
     pub(crate) fn processors_of(&self, a: &ProcessorsRequest) -> Processors {
         let now = self.now();
         self.with(|shared| {
-            if !shared.tells_processors(now) {
+            if !shared.knows_processors(now) {
                 return Processors::default();
             }
             shared.update_shares();
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -158,7 +158,7 @@
     }
 
     /// Whether this control node knows what the platform lists now.
-    pub(crate) fn tells_processors(&self, now: u64) -> bool {
+    pub(crate) fn knows_processors(&self, now: u64) -> bool {
         self.has_authority(now) && self.listed_at > 0
     }
 
