--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -173,10 +173,10 @@
     pub me: String,
     pub(crate) shared: Mutex<ControlShared>,
     pub(crate) view_changed: Notifier,
-    /// What nodes told has changed what is to be published.
-    pub(crate) stale: Notifier,
-    /// A store node has its first lease of this leader or of a new incarnation: its
-    /// partitions may have no owner.
+    /// Sessions have changed, so that the membership has to be published again.
+    pub(crate) membership_stale: Notifier,
+    /// Wakes the assignment of partitions early: a store node has its first lease from this leader
+    /// or in a new incarnation, and its partitions may have no owner.
     pub(crate) assign_soon: Notifier,
     pub(crate) inputs: mpsc::UnboundedSender<Input>,
     pub(crate) rpc_clients: Arc<RpcClients>,
@@ -215,7 +215,8 @@
         self.with(|f| f.cluster_clock.time(now))
     }
 
-    pub(crate) fn have(f: &ControlShared) -> ViewVersions {
+    /// The versions of what this control node holds.
+    pub(crate) fn view_versions(f: &ControlShared) -> ViewVersions {
         ViewVersions {
             configuration: f.control_state.revision,
             assignments: f.control_state.assignments.version,
@@ -387,7 +388,7 @@
             processor_shares: (0, 0, HashMap::new()),
         }),
         view_changed: Notifier::new(),
-        stale: Notifier::new(),
+        membership_stale: Notifier::new(),
         assign_soon: Notifier::new(),
         inputs,
         rpc_clients: RpcClients::new(Duration::from_millis((quiet / 4.0) as u64)),
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -1,5 +1,5 @@
-//! Sessions and leases: what nodes tell of themselves, the membership made of it, and
-//! the news that is told back.
+//! Sessions and leases: what nodes report of themselves, the membership derived from it, and
+//! the view updates that are sent back.
 
 use crate::service::*;
 use config::Settings;
@@ -10,32 +10,33 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// How often in the time of a lease a process looks whether it has stood still for as long.
-const PAUSE_LOOKS: u64 = 4;
-/// Leases are prolonged for that once in so many times their length at most: nodes that have ended
-/// are found all the same.
-const PAUSE_SPACING: u64 = 4;
+/// Checks per lease duration for whether this process was paused for at least a lease.
+const PAUSE_CHECKS_PER_LEASE: u64 = 4;
+/// A pause extends leases at most once in this many lease durations, so that nodes that have
+/// ended are still detected.
+const PAUSE_EXTENSION_INTERVAL: u64 = 4;
 
 impl ControlShared {
-    /// The incarnation of a node, if one is known that comes after this one.
+    /// The latest known incarnation of a node if it is later than this one; otherwise 0.
     pub(crate) fn later_incarnation(&self, node: &Node) -> u64 {
         let lease = self.leases.get(&node.name).map_or(0, |l| l.incarnation);
         let session = self.sessions.get(&node.name).map_or(0, |s| s.node.incarnation);
-        let told = self.membership.nodes.binary_search_by(|n| n.name.as_str().cmp(&node.name));
-        let told = told.map_or(0, |at| self.membership.nodes[at].incarnation);
-        let known = lease.max(session).max(told);
+        let listed = self.membership.nodes.binary_search_by(|n| n.name.as_str().cmp(&node.name));
+        let listed = listed.map_or(0, |at| self.membership.nodes[at].incarnation);
+        let known = lease.max(session).max(listed);
         if known > node.incarnation { known } else { 0 }
     }
 
-    /// Whether this node publishes the membership: it leads, and remembers what was told.
+    /// Whether this node publishes the membership: it leads, and either knows the former membership
+    /// or has given the nodes time to report.
     pub(crate) fn publishes(&self, now: u64) -> bool {
         self.has_authority(now) && now >= self.publish_from
     }
 
-    /// Takes what a node says of itself, from whoever brings it: a later incarnation
-    /// replaces an earlier one, and leaving is not undone within an incarnation. Tells
-    /// whether it was news.
-    pub(crate) fn tell(&mut self, node: &Node, now: u64) -> bool {
+    /// Records a node's description of itself, received from the node or through another one: a
+    /// later incarnation replaces an earlier one, and `leaving` is not undone within an
+    /// incarnation. Returns whether anything changed.
+    pub(crate) fn update_session(&mut self, node: &Node, now: u64) -> bool {
         let order = |n: &Node| (n.incarnation, n.leaving);
         match self.sessions.get_mut(&node.name) {
             Some(s) if order(node) < order(&s.node) => {
@@ -44,9 +45,9 @@
             }
             Some(s) => {
                 s.seen = s.seen.max(now);
-                let moved = s.node != *node;
+                let changed = s.node != *node;
                 s.node = node.clone();
-                moved
+                changed
             }
             None => {
                 self.sessions.insert(node.name.clone(), Session { node: node.clone(), seen: now });
@@ -57,8 +58,8 @@
 }
 
 impl ControlService {
-    /// A store node's connection has ended. If its address refuses another one, the
-    /// process that had it open has ended too, and its lease need not be waited for.
+    /// Handles the end of a store node's connection. If its address refuses a new connection, the
+    /// process has ended as well, and the expiry of its lease need not be awaited.
     pub(crate) async fn connection_ended(self: &Arc<Self>, connection: u64) {
         let found = self.with(|f| {
             let (name, l) = f.leases.iter().find(|(_, l)| l.connection == connection)?;
@@ -68,20 +69,21 @@
         let wait = Duration::from_millis(self.settings.lease_ms());
         if rpc::refuses(&inner, wait).await {
             let now = self.now();
-            let known = self.with(|f| {
+            let must_reassign = self.with(|f| {
                 let same = f.leases.get(&name).is_some_and(|l| l.incarnation == incarnation);
                 if same {
                     f.ended.insert(name.clone(), incarnation);
                 }
                 same && f.has_authority(now)
             });
-            if known {
+            if must_reassign {
                 telemetry::change!("the process of store node {name} has ended");
                 self.assign_partitions().await;
             }
         }
     }
 
+    /// Grants or renews the lease of a store node.
     pub(crate) fn lease(&self, l: Lease, connection: u64) -> LeaseAck {
         let now = self.now();
         let leader = self.leader();
@@ -97,21 +99,21 @@
             }
             let newer_incarnation = f.later_incarnation(&l.node);
             if newer_incarnation > 0 {
-                // A former incarnation of that node, on its way for long; or one that began by
-                // a clock that is behind, and is to begin another.
+                // A delayed message of a former incarnation; or a process that started while its
+                // clock was behind and has to choose a later incarnation.
                 telemetry::count("sessions_outdated");
                 return LeaseAck { leader, newer_incarnation, ..LeaseAck::default() };
             }
             let name = l.node.name.clone();
             if f.ended.get(&name) == Some(&l.node.incarnation) {
-                // This incarnation was given up; its partitions may be others' by now. It may
-                // go on as a follower, so the lease is new, not renewed.
+                // This incarnation was taken for ended, so its partitions may have other owners by
+                // now. It may continue as a follower: the lease is a new one, not a renewal.
                 f.ended.remove(&name);
             }
             if let Some(old) = f.leases.get(&name)
                 && old.incarnation != l.node.incarnation
             {
-                telemetry::change!("store node {name} came back in a new incarnation");
+                telemetry::change!("store node {name} is back in a new incarnation");
                 f.ended.insert(name.clone(), old.incarnation);
             }
             if f.leases.get(&name).is_none_or(|old| old.incarnation != l.node.incarnation) {
@@ -134,8 +136,8 @@
                     lagging_since,
                 },
             );
-            if f.tell(&l.node, now) {
-                self.stale.notify_one();
+            if f.update_session(&l.node, now) {
+                self.membership_stale.notify_one();
             }
             for s in &l.samples {
                 if let Some(r) =
@@ -145,14 +147,14 @@
                     f.rollout_monitors.entry(s.service.clone()).or_default().add(&target, s);
                 }
             }
-            let term = |c: &Holding| {
+            let newer_partition = |c: &Holding| {
                 f.control_state.assignments.partitions.iter().find(|p| p.id == c.partition && p.term > c.term)
             };
             LeaseAck {
                 granted: l.lag < 2 && !f.seizing.contains(&name),
                 ttl_ms: self.settings.lease_ms() as u32,
                 leader,
-                outdated: l.claims.iter().filter_map(term).cloned().collect(),
+                outdated: l.claims.iter().filter_map(newer_partition).cloned().collect(),
                 lagging: f.leases.iter().filter(|(_, l)| l.lag > 0).map(|(n, _)| n.clone()).collect(),
                 newer_incarnation: 0,
                 time_ms: f.cluster_clock.time(now).unwrap_or(0),
@@ -160,12 +162,13 @@
         })
     }
 
+    /// Publishes a new version of the membership if sessions or processors have changed.
     pub(crate) fn refresh_membership(f: &mut ControlShared, now: u64) {
         if !f.publishes(now) {
             return;
         }
         let nodes: Vec<&Node> = f.sessions.values().map(|s| &s.node).collect();
-        // Processors of functions are told to their slot owners only.
+        // Processors of a functions platform are sent only to their slot owners.
         let processors: &[Processor] = if f.functions { &[] } else { &f.processors };
         if f.membership.differs(&nodes, processors, f.listed) {
             f.membership_seq += 1;
@@ -173,46 +176,46 @@
         }
     }
 
-    /// Notes when this process has stood still, as on a machine without processor time for it.
+    /// Records when this process resumes after a pause, as on an overloaded machine.
     pub(crate) async fn watch_for_pauses(self: Arc<Self>) {
         let lease = self.settings.lease_ms();
         loop {
-            let begun = Instant::now();
-            tokio::time::sleep(Duration::from_millis(lease / PAUSE_LOOKS)).await;
-            if begun.elapsed() < Duration::from_millis(lease) {
+            let started = Instant::now();
+            tokio::time::sleep(Duration::from_millis(lease / PAUSE_CHECKS_PER_LEASE)).await;
+            if started.elapsed() < Duration::from_millis(lease) {
                 continue;
             }
             telemetry::count("pauses");
             let now = self.now();
             self.with(|f| {
-                if now > f.resumed_at + lease * PAUSE_SPACING {
+                if now > f.resumed_at + lease * PAUSE_EXTENSION_INTERVAL {
                     f.resumed_at = now;
                 }
             });
         }
     }
 
-    /// Publishes what nodes told, a moment after the first of them: when many begin
-    /// at once, each version would else be sent to all that are there already.
+    /// Publishes changed sessions after a short delay: if many nodes start at once, every
+    /// change would otherwise send a version of its own to all nodes that are already there.
     pub(crate) async fn publish(self: Arc<Self>) {
         loop {
-            self.stale.notified().await;
+            self.membership_stale.notified().await;
             tokio::time::sleep(Duration::from_millis(self.ratio(400.0))).await;
             let now = self.now();
-            let moved = self.with(|f| {
-                let told = f.membership.version;
+            let changed = self.with(|f| {
+                let published = f.membership.version;
                 Self::refresh_membership(f, now);
-                f.membership.version != told
+                f.membership.version != published
             });
-            if moved {
+            if changed {
                 telemetry::count("memberships_published");
                 self.view_changed.notify_waiters();
             }
         }
     }
 
-    /// How long before `asked_at` the configuration here was shown to be the newest. A leader
-    /// with authority holds all that was acknowledged; the others go by what it told them.
+    /// How long before `asked_at` the configuration here was last confirmed to be the newest. A
+    /// leader with authority holds every acknowledged one; the others rely on its replies.
     fn configuration_age_ms(&self, f: &mut ControlShared, asked_at: Instant) -> Option<u64> {
         if !self.settings.constraints.closed {
             return None;
@@ -224,6 +227,8 @@
         f.freshness.age_ms(asked_at)
     }
 
+    /// Answers a watch: records what the node reports, and waits until there is something newer
+    /// than the versions that it has.
     pub(crate) async fn watch(&self, w: WatchRequest) -> ViewUpdate {
         let (now, asked_at) = (self.now(), Instant::now());
         let mut newer_incarnation = 0;
@@ -240,14 +245,15 @@
                 && w.have.membership > 0
                 && w.node.as_ref().is_some_and(|n| n.role == "control")
             {
-                // Others remember more than this leader: it must not forget them aloud.
+                // Other nodes know a membership that this leader does not: it must not publish one
+                // without them.
                 f.publish_from = f.leader_since + self.ratio(4.0);
             }
             for n in w.node.iter().chain(&w.sessions).filter(|n| possible(n.incarnation)) {
-                changed |= f.tell(n, now);
+                changed |= f.update_session(n, now);
             }
             if changed {
-                self.stale.notify_one();
+                self.membership_stale.notify_one();
             }
             if f.is_leader && w.node.as_ref().is_some_and(|n| n.role == "control" && n.leaving) {
                 self.update_vote_candidates(f);
@@ -256,22 +262,22 @@
         let wait = tokio::time::sleep(Duration::from_millis(w.wait_ms.min(self.ratio(4.0) as u32) as u64));
         tokio::pin!(wait);
         loop {
-            let wake = self.view_changed.notified();
-            let newer = self.with(|f| {
-                let h = Self::have(f);
-                h.configuration > w.have.configuration
-                    || h.assignments > w.have.assignments
-                    || h.membership > w.have.membership
+            let changed = self.view_changed.notified();
+            let is_newer = self.with(|f| {
+                let versions = Self::view_versions(f);
+                versions.configuration > w.have.configuration
+                    || versions.assignments > w.have.assignments
+                    || versions.membership > w.have.membership
             });
-            if newer || newer_incarnation > 0 {
+            if is_newer || newer_incarnation > 0 {
                 break;
             }
-            tokio::select! { _ = wake => {}, _ = &mut wait => break }
+            tokio::select! { _ = changed => {}, _ = &mut wait => break }
         }
         self.with(|f| {
-            let have = Self::have(f);
+            let have = Self::view_versions(f);
             let (configuration, steps) = f.control_state.since(w.have.configuration);
-            let mut news = ViewUpdate {
+            let mut update = ViewUpdate {
                 have,
                 steps,
                 assignments: (have.assignments > w.have.assignments)
@@ -293,28 +299,29 @@
                 ..ViewUpdate::default()
             };
             if w.node.as_ref().is_some_and(|n| n.role == "control") {
-                news.unidentified = f.unidentified.reported(&f.sessions);
+                update.unidentified = f.unidentified.reported(&f.sessions);
             }
-            // A configuration waits behind nothing on its way: whoever lacks both asks again at once.
-            let has_configuration = configuration.is_some() || !news.steps.is_empty();
+            // A configuration is sent without a membership, so that nothing delays it: a node that
+            // lacks both asks again at once.
+            let has_configuration = configuration.is_some() || !update.steps.is_empty();
             if have.membership > w.have.membership && !has_configuration {
-                f.membership_updates.put(&mut news, &f.membership, w.have.membership);
+                f.membership_updates.put(&mut update, &f.membership, w.have.membership);
             }
             if let Some(json) = configuration {
-                news.put_configuration(json);
+                update.put_configuration(json);
             }
-            news
+            update
         })
     }
 
-    /// A control node that does not lead keeps a session with it, tells it its own
-    /// sessions, and takes the soft state from it.
+    /// While this control node does not lead: keeps a session with the leader, forwards its own
+    /// sessions to it, and copies the leader's soft state.
     pub(crate) async fn follow(self: Arc<Self>, settings_updates: watch::Receiver<Settings>) {
         let wait = self.settings.constraints.news_wait().as_millis() as u64;
-        // A newcomer is known to nobody: whoever runs is asked who leads.
-        let (mut hint, mut turn) = (String::new(), 0usize);
+        // No node contacts a newly started control node, so it asks the others in turn who leads.
+        let (mut hint, mut next) = (String::new(), 0usize);
         loop {
-            let (leader, mine, have, sessions, unidentified) = self.with(|f| {
+            let (leader, is_leader, have, sessions, unidentified) = self.with(|f| {
                 let now = self.now();
                 let limit = self.ratio(3.0);
                 let is_leader = f.is_leader;
@@ -328,19 +335,18 @@
                     .filter(|s| s.node.inner != me && s.node.role != "control" && s.node.role != "store")
                     .map(|s| s.node.clone())
                     .collect();
-                (f.leader.clone(), is_leader, Self::have(f), list, f.unidentified.reported(&f.sessions))
+                (f.leader.clone(), is_leader, Self::view_versions(f), list, f.unidentified.reported(&f.sessions))
             });
-            if mine || leader == self.me {
+            if is_leader || leader == self.me {
                 tokio::time::sleep(Duration::from_millis(wait / 4)).await;
                 continue;
             }
-            let known = !leader.is_empty();
-            let leader = if known { leader } else { std::mem::take(&mut hint) };
+            let leader = if !leader.is_empty() { leader } else { std::mem::take(&mut hint) };
             let leader = if leader.is_empty() || leader == self.me {
                 tokio::time::sleep(Duration::from_millis(wait / 8)).await;
-                let asked = self.may_know_leader(&settings_updates.borrow());
-                turn += 1;
-                let Some(address) = asked.get(turn % asked.len().max(1)) else { continue };
+                let candidates = self.leader_hint_sources(&settings_updates.borrow());
+                next += 1;
+                let Some(address) = candidates.get(next % candidates.len().max(1)) else { continue };
                 let w = WatchRequest {
                     have: ViewVersions { configuration: u64::MAX, assignments: u64::MAX, membership: u64::MAX },
                     wait_ms: 1,
@@ -401,10 +407,10 @@
         }
     }
 
-    /// The control nodes that are asked who leads: the voters of the log here, one of which does
-    /// or hears of it, and those that the settings name. The latter alone may all be without a
-    /// vote, and know of nobody but each other after all of them have lost power.
-    fn may_know_leader(&self, settings: &Settings) -> Vec<String> {
+    /// The control nodes that are asked who leads: the voters in the log of this node, one of which
+    /// leads or follows the leader, and the seeds of the settings. The seeds alone may all be
+    /// without a vote, and then know only each other after a loss of power of all of them.
+    fn leader_hint_sources(&self, settings: &Settings) -> Vec<String> {
         let mut addresses = self.with(|f| f.voters.clone());
         addresses.extend(settings.seed_control_nodes());
         addresses.retain(|address| *address != self.me);
@@ -413,6 +419,7 @@
         addresses
     }
 
+    /// The description of this control node for its sessions.
     pub(crate) fn node(&self) -> Node {
         Node {
             name: self.settings.node.clone(),
