--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -187,9 +187,9 @@
     raft: RaftNode,
     wal: Wal,
     /// Proposals that wait for their entry to be applied: its term and the reply, by index.
-    pending: HashMap<u64, (u64, Answered)>,
+    pending: HashMap<u64, (u64, ProposalReply)>,
     /// The reply for the proposal that is being stepped.
-    proposer: Option<Answered>,
+    proposer: Option<ProposalReply>,
     /// The control nodes with a live session, as last received.
     control_nodes: Vec<Candidate>,
     wanted_voters: usize,
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -1,5 +1,5 @@
-//! The shell of a control node: runs the log, keeps sessions and leases, and does
-//! the duties of the leader.
+//! The control node process: runs Raft, serves sessions and leases, and performs the leader's
+//! duties.
 
 use crate::cluster_clock::ClusterClock;
 use crate::cold::ColdLeases;
@@ -22,18 +22,20 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{Notify as Notifier, mpsc, oneshot, watch};
 
-pub type Answered = oneshot::Sender<Option<ApplyResult>>;
+/// Receives the result of a proposal; None if its entry was replaced by another one.
+pub type ProposalReply = oneshot::Sender<Option<ApplyResult>>;
 
+/// Inputs of the task that drives Raft.
 pub(crate) enum Input {
     RaftNode(RaftMessage),
-    Propose(Bytes, Answered),
-    /// This process is told to end.
+    Propose(Bytes, ProposalReply),
+    /// This process is shutting down.
     Leave,
-    /// The control nodes whose sessions stand.
+    /// The control nodes with a live session.
     ControlNodes(Vec<Candidate>),
 }
 
-/// A control node whose session stands, as one that may be given a vote.
+/// A control node with a live session, which may be given a vote.
 pub(crate) struct Candidate {
     pub(crate) addr: String,
     pub(crate) zone: String,
@@ -42,6 +44,7 @@
 
 pub(crate) struct Session {
     pub(crate) node: Node,
+    /// When the node last reported.
     pub(crate) seen: u64,
 }
 
@@ -49,42 +52,42 @@
     pub(crate) incarnation: u64,
     /// When it was last renewed.
     pub(crate) at: u64,
-    /// The incarnation in which its disk was empty: what it was in sync with before that
-    /// does not count.
+    /// The incarnation that started with an empty disk: in-sync membership from before it does
+    /// not count.
     pub(crate) born: u64,
     pub(crate) claims: Vec<Holding>,
     pub(crate) connection: u64,
-    /// How its disk does: 0 well, 1 slow, 2 it does not answer.
+    /// State of its disk: 0 healthy, 1 slow, 2 not responding.
     pub(crate) lag: u32,
-    /// Since when it does not do well; of no meaning while it does.
+    /// Since when the disk has not been healthy; meaningless while `lag` is 0.
     pub(crate) lagging_since: u64,
 }
 
-/// State shared by the tasks of a control node, behind a short lock.
+/// State shared by the tasks of a control node; the lock on it is held only briefly.
 pub struct ControlShared {
     pub control_state: ControlState,
     pub membership: Membership,
-    /// What others lack of it.
+    /// Updates from older versions of the membership, computed once per version.
     pub(crate) membership_updates: MembershipUpdates,
     pub(crate) sessions: BTreeMap<String, Session>,
     pub(crate) leases: HashMap<String, StoreLease>,
-    /// Incarnations that were seen to end.
+    /// The last incarnation of each node that is known to have ended.
     pub(crate) ended: HashMap<String, u64>,
     pub leader: String,
     pub is_leader: bool,
-    /// Until when this control node may act for the majority; 0 when it may not.
+    /// Until when this control node may act for the majority; 0 if it may not.
     pub(crate) serves_until: u64,
     pub(crate) leader_since: u64,
-    /// When this process last went on after it had stood still: what nodes sent meanwhile was not
-    /// read, so no lease has run out for that.
+    /// When this process last resumed after a pause: renewals that arrived meanwhile were not read,
+    /// so leases must not count as expired because of it.
     pub(crate) resumed_at: u64,
-    /// From when the membership of this leader is news: one that remembers none waits
-    /// until the nodes have told it their sessions.
+    /// When this leader may first publish the membership: a leader that knows none waits until
+    /// the nodes have reported their sessions.
     pub(crate) publish_from: u64,
     pub(crate) voters: Vec<String>,
-    /// Whether they are committed.
+    /// Whether `voters` are committed.
     pub(crate) voters_settled: bool,
-    /// How far the other control nodes are behind, as the leader knows it.
+    /// How many entries the other control nodes lag behind, as the leader knows it.
     pub(crate) behind: Vec<(String, u64)>,
     pub(crate) term: u64,
     pub(crate) membership_seq: u64,
@@ -92,41 +95,41 @@
     pub(crate) listed: bool,
     pub(crate) rollout_monitors: HashMap<String, RolloutMonitor>,
     pub(crate) first_store_at: u64,
-    /// How many store nodes there are, and since when.
+    /// The number of store nodes, and since when it has been the same.
     pub(crate) store_count_since: (usize, u64),
-    /// Owners from which partitions are being taken: they get no lease meanwhile, by
-    /// which they would go on beside their successors.
+    /// Owners whose partitions are being seized: they get no lease meanwhile, as it would let them
+    /// act beside their successors.
     pub(crate) seizing: HashSet<String>,
-    /// Since when nobody acts as a partition's owner.
+    /// Since when no node has acted as the owner of a partition.
     pub(crate) unclaimed_since: HashMap<u32, u64>,
     pub(crate) ownership_watch: OwnershipWatch,
     pub(crate) cluster_clock: ClusterClock,
     pub(crate) unidentified: UnidentifiedProcessors,
-    /// Of the configuration here, while another control node leads.
+    /// Freshness of the configuration here, while another control node leads.
     pub(crate) freshness: Freshness,
-    /// A platform for functions.
+    /// Whether the platform runs functions.
     pub(crate) functions: bool,
-    /// Since when the processors are as this leader itself listed them; 0: not yet.
+    /// When this leader first listed the processors itself; 0 if it has not yet.
     pub(crate) listed_at: u64,
     pub(crate) launcher: InstanceLauncher,
-    /// The configuration in force, read once for a version.
+    /// The configuration in force, parsed once per revision.
     pub(crate) configuration_index: Arc<ConfigurationIndex>,
-    /// Whether the configuration of a revision has a field `domains`.
-    pub(crate) names_domains: (u64, bool),
-    /// The same as a tree, for changes.
+    /// A revision, and whether the text of its configuration contains a field `domains`.
+    pub(crate) mentions_domains: (u64, bool),
+    /// The configuration in force as a tree, to which changes are applied.
     pub(crate) document: config::ConfigurationDocument,
-    /// Who may send to which cold processor, by this leader's word.
+    /// Leases of this leader for sending to cold processors.
     pub(crate) cold_leases: ColdLeases,
-    /// Who holds which share of tenants' limits, by this leader's word.
+    /// Leases of this leader on shares of tenants' limits.
     pub(crate) quota_leases: QuotaLeases,
-    /// Zones that were taken back, by the index of that order: since when this leader knows.
+    /// Since when this leader knows that an evacuation was finished, by the index of that order.
     pub(crate) returning_since: HashMap<u64, u64>,
-    /// The processors that each front is told, made once for a listing and a membership.
+    /// The processors sent to each front, computed once per listing and membership version.
     pub(crate) processor_shares: (u64, u64, HashMap<String, Processors>),
 }
 
 impl ControlShared {
-    /// The configuration in force, with its indexes; read once for a revision.
+    /// The configuration in force, with its indexes; parsed once per revision.
     pub(crate) fn read_configuration(&mut self) -> Arc<ConfigurationIndex> {
         if self.configuration_index.revision != self.control_state.revision
             && let Ok(read) = Configuration::read(&self.control_state.configuration)
@@ -136,17 +139,17 @@
         self.configuration_index.clone()
     }
 
-    /// As `read_configuration`, if the configuration in force may bind anything to regions: its
-    /// text is looked through once for a revision, which costs far less than reading it.
+    /// As `read_configuration`, but None if the configuration binds nothing to regions. Its text is
+    /// searched once per revision first, which costs far less than parsing it.
     pub(crate) fn read_configuration_with_homes(&mut self) -> Option<Arc<ConfigurationIndex>> {
         const FIELD: &[u8] = b"\"domains\"";
         let revision = self.control_state.revision;
-        if self.names_domains.0 != revision {
+        if self.mentions_domains.0 != revision {
             let text = &self.control_state.configuration;
-            self.names_domains = (revision, text.windows(FIELD.len()).any(|part| part == FIELD));
+            self.mentions_domains = (revision, text.windows(FIELD.len()).any(|part| part == FIELD));
         }
-        let names_domains = self.names_domains.1;
-        names_domains.then(|| self.read_configuration()).filter(|configuration| configuration.has_homes())
+        let mentions_domains = self.mentions_domains.1;
+        mentions_domains.then(|| self.read_configuration()).filter(|configuration| configuration.has_homes())
     }
 
     pub(crate) fn processors(&self) -> &[Processor] {
@@ -162,7 +165,7 @@
         self.has_authority(now) && self.listed_at > 0
     }
 
-    /// The leader's term: fences what its holder has the platform do.
+    /// The leader's term, which fences its calls to the platform.
     pub(crate) fn term(&self) -> u64 {
         self.term
     }
@@ -183,25 +186,28 @@
     pub(crate) start: Instant,
     pub(crate) incarnation: AtomicU64,
     pub(crate) assigning: AtomicBool,
-    /// Told to end.
+    /// This process is shutting down.
     pub(crate) leaving: AtomicBool,
     pub(crate) settings_updates: watch::Receiver<Settings>,
-    /// Connections for what the platform is to do.
+    /// Connections for calls to the platform.
     pub(crate) platform_pool: Arc<http1::ConnectionPool>,
 }
 
 impl ControlService {
+    /// The monotonic clock, in milliseconds.
     pub fn now(&self) -> u64 {
-        // Starts above 0, so that "never" lies in the past.
+        // Starts far above 0, so that 0 can stand for "never".
         self.start.elapsed().as_millis() as u64 + 1_000_000
     }
 
+    /// Runs `f` on the shared state under its lock.
     pub fn with<T>(&self, f: impl FnOnce(&mut ControlShared) -> T) -> T {
         f(&mut self.shared.lock().unwrap())
     }
 
-    pub(crate) fn ratio(&self, part: f64) -> u64 {
-        (self.settings.constraints.quiet_ms / part) as u64
+    /// `quietMs` divided by `divisor`, in whole milliseconds.
+    pub(crate) fn ratio(&self, divisor: f64) -> u64 {
+        (self.settings.constraints.quiet_ms / divisor) as u64
     }
 
     /// The configuration in force, with its indexes.
@@ -209,7 +215,7 @@
         self.with(ControlShared::read_configuration)
     }
 
-    /// The fleet's time; None while the leader does not know it.
+    /// The cluster time; None while it is not known.
     pub fn time(&self) -> Option<u64> {
         let now = self.now();
         self.with(|f| f.cluster_clock.time(now))
@@ -236,8 +242,8 @@
             Body::WatchRequest(w) => {
                 let control = self.clone();
                 tokio::spawn(async move {
-                    let news = control.watch(w).await;
-                    responder.send(Body::ViewUpdate(news));
+                    let update = control.watch(w).await;
+                    responder.send(Body::ViewUpdate(update));
                 });
             }
             Body::Order(o) => {
@@ -247,8 +253,8 @@
                     responder.send(Body::OrderAck(ack));
                 });
             }
-            Body::ColdLease(ask) => responder.send(Body::ColdLeaseAck(self.lease_cold(&ask.node))),
-            Body::QuotaRequest(ask) => responder.send(Body::QuotaResponse(self.lease_quota(ask))),
+            Body::ColdLease(request) => responder.send(Body::ColdLeaseAck(self.lease_cold(&request.node))),
+            Body::QuotaRequest(request) => responder.send(Body::QuotaResponse(self.lease_quota(request))),
             Body::ProcessorsRequest(a) => responder.send(Body::Processors(self.processors_of(&a))),
             Body::Start(s) => {
                 let control = self.clone();
@@ -272,10 +278,11 @@
         }
     }
 
+    /// The status as JSON, as `ctl status` shows it.
     pub fn status(&self) -> String {
-        let looked_at = self.now();
+        let now = self.now();
         self.with(|f| {
-            let parts: Vec<serde_json::Value> = f
+            let partitions: Vec<serde_json::Value> = f
                 .control_state
                 .assignments
                 .partitions
@@ -283,7 +290,7 @@
                 .map(|p| {
                     serde_json::json!({"id": p.id, "term": p.term, "owner": p.owner, "inSync": p.in_sync,
                         "replicas": p.replicas, "candidate": p.grant.as_ref().map(|g| g.candidate.clone()),
-                        "unownedMs": f.ownership_watch.unowned_ms(p.id, looked_at)})
+                        "unownedMs": f.ownership_watch.unowned_ms(p.id, now)})
                 })
                 .collect();
             let nodes: Vec<serde_json::Value> = f
@@ -296,7 +303,7 @@
             let clocks: BTreeMap<String, i64> =
                 f.cluster_clock.clocks_off(now).into_iter().map(|c| (c.node, c.ahead_ms)).collect();
             let behind: BTreeMap<&String, u64> = f.behind.iter().map(|(n, b)| (n, *b)).collect();
-            // Store machines whose disks do not keep up.
+            // Store nodes whose disks are not healthy.
             let disks: BTreeMap<&String, &str> = f
                 .leases
                 .iter()
@@ -314,13 +321,13 @@
                 "quotas": if f.is_leader { f.quota_leases.status() } else { serde_json::json!([]) },
                 "evacuations": crate::operator::evacuations_json(f)["evacuations"],
                 "unidentified": unidentified, "revision": f.control_state.revision, "assignments": f.control_state.assignments.version, "membership": f.membership.version,
-                "units": f.membership.processors.len(), "partitions": parts, "nodes": nodes, "counters": telemetry::render()})
+                "units": f.membership.processors.len(), "partitions": partitions, "nodes": nodes, "counters": telemetry::render()})
             .to_string()
         })
     }
 }
 
-/// Runs a control node until it is told to stop.
+/// Runs a control node until `stop` becomes true.
 pub async fn run(
     settings: Settings,
     mut stop: watch::Receiver<bool>,
@@ -328,8 +335,8 @@
 ) -> Result<(), String> {
     let me = settings.inner_addr(Role::Control);
     let quiet = settings.constraints.quiet_ms;
-    let (wal, kept) = storage::load(&settings)?;
-    let StoredState { hard, state, log, control_state, fresh } = kept;
+    let (wal, stored) = storage::load(&settings)?;
+    let StoredState { hard, state, log, control_state, fresh } = stored;
     if fresh && !settings.initial_start {
         telemetry::change!("the disk is empty: no vote until readmitted");
     }
@@ -380,7 +387,7 @@
                 settings.platform.duty_per_s,
             ),
             configuration_index: Arc::default(),
-            names_domains: (0, false),
+            mentions_domains: (0, false),
             document: config::ConfigurationDocument::default(),
             cold_leases: ColdLeases::default(),
             quota_leases: QuotaLeases::default(),
@@ -433,7 +440,7 @@
         loop {
             tokio::select! {
                 _ = tokio::time::sleep(period) => {}
-                // Others that came back at the same moment are taken along.
+                // The short delay batches nodes that came back at the same moment.
                 _ = s.assign_soon.notified() => tokio::time::sleep(period / 8).await,
             }
             rounds += 1;
