--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -194,7 +194,7 @@
                 let revived_partition = || {
                     let has_lease = |n: &str| shared.leases.contains_key(n);
                     let health = |n: &str| if has_lease(n) { assessor.health(p, n) } else { CopyHealth::Gone };
-                    revive(p, health, incarnation)
+                    restore_owner(p, health, incarnation)
                 };
                 let is_claimed = shared.leases.iter().any(|(n, l)| {
                     Self::is_alive(shared, now, lease, n)
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -563,7 +563,7 @@
 
 /// Nobody acts as a partition's owner, though nodes that hold all of it are
 /// there: as after the end of all processes at once. One of them begins anew.
-pub fn revive(
+pub fn restore_owner(
     p: &Partition,
     health: impl Fn(&str) -> CopyHealth,
     incarnation: impl Fn(&str) -> Option<u64>,
--- a/crates/control/tests/duties.rs
+++ b/crates/control/tests/duties.rs
@@ -53,8 +53,8 @@
     let s = seize(&p, impaired("a"), |_| Some(0)).expect("b takes over");
     assert_eq!((s.owner.as_str(), s.term, s.in_sync), ("b", 5, names(&["a", "b"])));
     assert_eq!(seize(&p, |_| CopyHealth::Impaired, |_| Some(0)), None, "no node can write");
-    assert_eq!(revive(&p, |_| CopyHealth::Impaired, |_| Some(0)), None);
-    let r = revive(&p, impaired("a"), |_| Some(0)).expect("b becomes the owner");
+    assert_eq!(restore_owner(&p, |_| CopyHealth::Impaired, |_| Some(0)), None);
+    let r = restore_owner(&p, impaired("a"), |_| Some(0)).expect("b becomes the owner");
     assert_eq!((r.owner.as_str(), r.in_sync), ("b", names(&["a", "b"])));
 }
 
@@ -281,11 +281,11 @@
 #[test]
 fn when_no_node_acts_as_owner_a_node_in_sync_is_given_a_new_term() {
     let mut p = partition("a", &["a", "b"]);
-    let r = revive(&p, sound_if(|_| true), |_| Some(0)).expect("the same owner");
+    let r = restore_owner(&p, sound_if(|_| true), |_| Some(0)).expect("the same owner");
     assert_eq!((r.owner.as_str(), r.term, r.seized, r.in_sync), ("a", 5, true, names(&["a", "b"])));
-    assert_eq!(revive(&p, sound_if(|n| n == "b"), |_| Some(0)).map(|r| r.owner), Some("b".into()));
+    assert_eq!(restore_owner(&p, sound_if(|n| n == "b"), |_| Some(0)).map(|r| r.owner), Some("b".into()));
     p.grant = Some(Grant { term: 5, candidate: "b".into(), in_sync: names(&["b"]) });
-    let r = revive(&p, sound_if(|_| true), |_| Some(0)).expect("the candidate, which may hold more records");
+    let r = restore_owner(&p, sound_if(|_| true), |_| Some(0)).expect("the candidate, which may hold more records");
     assert_eq!((r.owner.as_str(), r.term), ("b", 6));
-    assert_eq!(revive(&p, sound_if(|n| n == "a"), |_| Some(0)), None);
+    assert_eq!(restore_owner(&p, sound_if(|n| n == "a"), |_| Some(0)), None);
 }
