--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -171,8 +171,9 @@
         Err(e) => return error_reply(400, &format!("cannot be read in full: {e}")),
     };
     let digest = digest(if adjust { "adjust" } else { "replace" }, "", base, revision, &r.body);
-    let (current, stored, is_repeat) = control
-        .with(|f| (f.control_state.revision, f.control_state.configuration.clone(), f.control_state.took(&digest)));
+    let (current, stored, is_repeat) = control.with(|f| {
+        (f.control_state.revision, f.control_state.configuration.clone(), f.control_state.knows_configuration(&digest))
+    });
     let repeated = || Reply::json(200, serde_json::json!({ "revision": revision, "again": true }).to_string());
     if is_repeat {
         return repeated();
@@ -280,7 +281,7 @@
             .collect();
         old.sort();
         old.dedup();
-        (running, f.control_state.took_order(&order_id, running), old)
+        (running, f.control_state.knows_order(&order_id, running), old)
     });
     if repeated {
         return order_reply(Some(ApplyResult::Repeated), "", time_unknown);
@@ -323,7 +324,7 @@
         // A new leader may not know every live session yet.
         let sessions_complete = f.membership.version != 0 && now > f.leader_since + control.ratio(3.0);
         (
-            f.control_state.took_order(&order_id, running),
+            f.control_state.knows_order(&order_id, running),
             running,
             holds || stores.iter().any(|n| n == node),
             sessions_complete,
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -252,7 +252,7 @@
         self.reached_ms = self.reached_ms.max(at_ms);
         match word {
             CommandPayload::Configuration(t) => {
-                if self.took(&t.digest) {
+                if self.knows_configuration(&t.digest) {
                     return ApplyResult::Repeated;
                 }
                 if t.base != self.revision || t.revision <= self.revision {
@@ -305,7 +305,7 @@
             CommandPayload::StartRollout(StartRollout { rollout, order_id }) => {
                 let slot = self.assignments.rollouts.iter().position(|x| x.service == rollout.service);
                 let running = slot.is_some_and(|i| self.assignments.rollouts[i].state == "running");
-                if self.took_order(&order_id, running) {
+                if self.knows_order(&order_id, running) {
                     return ApplyResult::Repeated;
                 }
                 if running {
@@ -326,7 +326,7 @@
             }
             CommandPayload::StartRetire(r) => {
                 let running = self.assignments.retires.iter().any(|x| x.node == r.node && !x.done);
-                if self.took_order(&r.order_id, running) {
+                if self.knows_order(&r.order_id, running) {
                     return ApplyResult::Repeated;
                 }
                 if running {
@@ -404,13 +404,13 @@
     }
 
     /// Whether this very call has been taken before.
-    pub fn took(&self, digest: &[u8]) -> bool {
+    pub fn knows_configuration(&self, digest: &[u8]) -> bool {
         !digest.is_empty() && self.taken.iter().any(|t| t.digest == digest)
     }
 
     /// Whether an order is one that was taken, sent again. `running`: what it asks for
     /// is under way, so that its time is not looked at.
-    pub fn took_order(&self, order: &OrderId, running: bool) -> bool {
+    pub fn knows_order(&self, order: &OrderId, running: bool) -> bool {
         let same = |t: &&OrderId| !order.digest.is_empty() && t.digest == order.digest;
         self.orders.iter().find(same).is_some_and(|t| running || order.at_ms <= t.until_ms)
     }
--- a/crates/control/tests/common/mod.rs
+++ b/crates/control/tests/common/mod.rs
@@ -951,7 +951,7 @@
 }
 
 pub fn has_applied(r: &ControlState, c: &Request) -> bool {
-    r.took(&c.digest)
+    r.knows_configuration(&c.digest)
 }
 
 /// Whether every majority of one set intersects every majority of the other.
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -256,7 +256,7 @@
     }
     assert_eq!(began, 5000);
     for n in [4999, 4990, 5000 - 256] {
-        assert!(l.control_state.took(&digest("replace", "", n, n + 1, b"{}")), "{n}");
+        assert!(l.control_state.knows_configuration(&digest("replace", "", n, n + 1, b"{}")), "{n}");
     }
     // All that may come again is there, and what may not is not.
     assert!((100..=102).contains(&l.control_state.orders.len()), "{}", l.control_state.orders.len());
--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -213,7 +213,7 @@
         let got: Vec<ApplyResult> = w.applied[n].iter().map(|a| a.1).collect();
         assert_eq!(got[got.len() - 2..], [ApplyResult::Done, ApplyResult::Conflict]);
         assert_eq!(w.control_states[n].revision, 3);
-        assert!(w.control_states[n].took(&request_digest(0, 3)) && !w.control_states[n].took(&request_digest(0, 4)));
+        assert!(w.control_states[n].knows_configuration(&request_digest(0, 3)) && !w.control_states[n].knows_configuration(&request_digest(0, 4)));
     }
 }
 
@@ -484,7 +484,7 @@
     w.isolated.clear();
     w.run_for(3000);
     assert!(
-        w.control_states.values().all(|r| r.revision == 7 && !r.took(&request_digest(3, 5))),
+        w.control_states.values().all(|r| r.revision == 7 && !r.knows_configuration(&request_digest(3, 5))),
         "the isolated leader's entry must not be committed"
     );
 }
@@ -1010,7 +1010,7 @@
         w.run_for(3000);
         let second = w.leader().expect("another leader");
         let from = w.applied[&second].len();
-        let known = w.control_states[&second].took(&request_digest(0, 3));
+        let known = w.control_states[&second].knows_configuration(&request_digest(0, 3));
         w.put(&second, 0, 3);
         w.start(&first);
         w.run_for(2000);
