--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -346,6 +346,6 @@
     }
     let refused =
         || if sessions_complete { error_reply(409, "too few store machines would remain") } else { too_early() };
-    let command = StartRetire { node: node.into(), stores, least: min_remaining, order_id };
+    let command = StartRetire { node: node.into(), stores, min_remaining, order_id };
     order_reply(control.propose(CommandPayload::StartRetire(command)).await, conflict, refused)
 }
--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -24,7 +24,7 @@
     pub revision: u64,
     /// Every configuration that was taken, to know a repeat of it.
     #[prost(message, repeated, tag = "4")]
-    pub taken: Vec<KnownOrder>,
+    pub accepted: Vec<KnownConfiguration>,
     /// The last changes of the configuration, for those that are a little behind.
     #[prost(message, repeated, tag = "5")]
     pub steps: Vec<ConfigurationStep>,
@@ -41,7 +41,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct KnownOrder {
+pub struct KnownConfiguration {
     #[prost(uint64, tag = "1")]
     pub revision: u64,
     #[prost(uint64, tag = "2")]
@@ -171,7 +171,7 @@
     pub stores: Vec<String>,
     /// So many of them must stay.
     #[prost(uint32, tag = "3")]
-    pub least: u32,
+    pub min_remaining: u32,
     #[prost(message, required, tag = "4")]
     pub order_id: OrderId,
 }
@@ -286,9 +286,9 @@
                 }
                 self.configuration = json;
                 self.revision = t.revision;
-                self.taken.push(KnownOrder { revision: t.revision, base: t.base, digest: t.digest });
-                if self.taken.len() > CONFIGURATIONS {
-                    self.taken.remove(0);
+                self.accepted.push(KnownConfiguration { revision: t.revision, base: t.base, digest: t.digest });
+                if self.accepted.len() > CONFIGURATIONS {
+                    self.accepted.remove(0);
                 }
                 return ApplyResult::Done;
             }
@@ -333,7 +333,7 @@
                     return ApplyResult::Conflict;
                 }
                 let stays = |n: &&String| **n != r.node && !self.is_retired(n);
-                if r.stores.iter().filter(stays).count() < r.least as usize {
+                if r.stores.iter().filter(stays).count() < r.min_remaining as usize {
                     return ApplyResult::Refused;
                 }
                 self.assignments.retires.retain(|x| x.node != r.node);
@@ -405,7 +405,7 @@
 
     /// Whether this very call has been taken before.
     pub fn knows_configuration(&self, digest: &[u8]) -> bool {
-        !digest.is_empty() && self.taken.iter().any(|t| t.digest == digest)
+        !digest.is_empty() && self.accepted.iter().any(|t| t.digest == digest)
     }
 
     /// Whether an order is one that was taken, sent again. `running`: what it asks for
--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -61,7 +61,7 @@
     fn retire(&mut self, node: &str, stores: &[&str], at_ms: u64) -> ApplyResult {
         let order_id = OrderId { digest: digest("retire", node, 0, 0, b"{}"), at_ms, until_ms: at_ms + 1000 };
         let stores = stores.iter().map(|s| s.to_string()).collect();
-        self.put(CommandPayload::StartRetire(StartRetire { node: node.into(), stores, least: 2, order_id }))
+        self.put(CommandPayload::StartRetire(StartRetire { node: node.into(), stores, min_remaining: 2, order_id }))
     }
 
     fn finish(&mut self, node: &str, began: u64) -> ApplyResult {
--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -1019,7 +1019,7 @@
         assert_eq!(got, [if known { ApplyResult::Repeated } else { ApplyResult::Done }], "after {ms} ms");
         repeated += u32::from(known);
         anew += u32::from(!known);
-        assert!(w.control_states.values().all(|r| r.revision == 3 && r.taken.len() == 1));
+        assert!(w.control_states.values().all(|r| r.revision == 3 && r.accepted.len() == 1));
     }
     assert!(repeated > 0 && anew > 0, "{repeated} {anew}");
 }
