--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -1,5 +1,5 @@
-//! The state that the majority log folds into: the operator's word, and who
-//! owns which partition at which term.
+//! The replicated state machine of the control plane: the operator's configuration and orders,
+//! and which node owns each partition in which term.
 
 use crate::evacuation::{ColdKnown, EvacuateZone};
 use bytes::Bytes;
@@ -8,10 +8,10 @@
 use rpc::messages::{Assignments, ConfigurationStep, Grant, Order, OrderKind, Partition, Retire, Rollout};
 use sha2::{Digest as _, Sha256};
 
-/// So many configurations are known again, the newest ones.
-const CONFIGURATIONS: usize = 1024;
-/// So many other orders are known again, within their time.
-const ORDERS: usize = 256;
+/// Repeats are recognised for this many of the newest configurations.
+const MAX_KNOWN_CONFIGURATIONS: usize = 1024;
+/// Repeats are recognised for at most this many other orders, until they expire.
+const MAX_KNOWN_ORDERS: usize = 256;
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ControlState {
@@ -22,51 +22,51 @@
     pub configuration: Bytes,
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// Every configuration that was taken, to know a repeat of it.
+    /// The newest accepted configurations, by which repeats are recognised.
     #[prost(message, repeated, tag = "4")]
     pub accepted: Vec<KnownConfiguration>,
-    /// The last changes of the configuration, for those that are a little behind.
+    /// The latest changes of the configuration, for nodes that lack only these.
     #[prost(message, repeated, tag = "5")]
     pub steps: Vec<ConfigurationStep>,
-    /// The last entry of the log that is in this state: a snapshot says itself as of
-    /// when it is.
+    /// The index of the last applied entry, so that a snapshot records its own position.
     #[prost(uint64, tag = "6")]
     pub applied: u64,
-    /// Roll-outs and retires that were taken, while they may be sent again.
+    /// Accepted roll-outs and retires, for as long as they may be sent again.
     #[prost(message, repeated, tag = "7")]
     pub orders: Vec<OrderId>,
-    /// The latest cluster time of a command, ms: a new leader's time does not begin below.
+    /// The latest cluster time of a command, in ms; the time of a new leader does not start below it.
     #[prost(uint64, tag = "15")]
     pub reached_ms: u64,
 }
 
+/// Identifies an accepted configuration.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct KnownConfiguration {
     #[prost(uint64, tag = "1")]
     pub revision: u64,
     #[prost(uint64, tag = "2")]
     pub base: u64,
-    /// As `digest` makes it.
+    /// Computed by `digest`.
     #[prost(bytes = "bytes", tag = "4")]
     pub digest: Bytes,
 }
 
-/// The identity of an order other than a configuration, and for how long it is one.
+/// The identity of an order other than a configuration, and how long it is valid.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct OrderId {
-    /// As `digest` makes it.
+    /// Computed by `digest`.
     #[prost(bytes = "bytes", tag = "1")]
     pub digest: Bytes,
-    /// The fleet's time when it was proposed, ms.
+    /// The cluster time when it was proposed, in ms.
     #[prost(uint64, tag = "2")]
     pub at_ms: u64,
-    /// Until then the same bytes are the same order, sent again; ms.
+    /// Until this cluster time, in ms, the same bytes are a repeat of this order.
     #[prost(uint64, tag = "3")]
     pub until_ms: u64,
 }
 
-/// The identity of an order: SHA-256 over all that tells it from others, each part
-/// behind its length. `name` is of the service or node; empty for a configuration.
+/// The identity of an order: SHA-256 over everything that distinguishes it from others, each
+/// part preceded by its length. `name` is that of the service or node; empty for a configuration.
 pub fn digest(kind: &str, name: &str, base: u64, number: u64, body: &[u8]) -> Bytes {
     let mut h = Sha256::new();
     for part in [kind.as_bytes(), name.as_bytes(), &base.to_be_bytes(), &number.to_be_bytes(), body] {
@@ -80,13 +80,13 @@
 pub struct Command {
     #[prost(oneof = "CommandPayload", tags = "1, 2, 5, 6, 7, 8, 9, 10, 11, 12")]
     pub payload: Option<CommandPayload>,
-    /// The cluster's time when it was proposed, ms; 0 if it was not known.
+    /// The cluster time when it was proposed, in ms; 0 if it was not known.
     #[prost(uint64, tag = "15")]
     pub at_ms: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Oneof)]
-#[allow(clippy::large_enum_variant)] // They live for one step.
+#[allow(clippy::large_enum_variant)] // Commands are short-lived.
 pub enum CommandPayload {
     #[prost(message, tag = "1")]
     Configuration(PutConfiguration),
@@ -106,7 +106,7 @@
     Evacuate(EvacuateZone),
     #[prost(message, tag = "11")]
     ColdKnown(ColdKnown),
-    /// Partitions of one region, for messages that are bound to it.
+    /// The partitions of one region, for messages bound to that region.
     #[prost(message, tag = "12")]
     HomeLayout(Layout),
 }
@@ -119,16 +119,16 @@
     pub revision: u64,
     #[prost(bytes = "bytes", tag = "3")]
     pub json: Bytes,
-    /// Of the operator's call, to know it again; as `digest` makes it.
+    /// Identifies the operator's request, to recognise repeats; computed by `digest`.
     #[prost(bytes = "bytes", tag = "6")]
     pub digest: Bytes,
-    /// What changed, as operators write it; empty: too much for that. With it and
-    /// without `json` it is all that is logged.
+    /// The change in the operators' format; empty if it would be too large. If `json` is empty, only
+    /// the change is logged.
     #[prost(bytes = "bytes", tag = "5")]
     pub change: Bytes,
 }
 
-/// Changes one partition if it still is what the proposer saw.
+/// Changes one partition if it is still as the proposer saw it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PutPartition {
     #[prost(message, required, tag = "1")]
@@ -143,7 +143,7 @@
     pub partitions: Vec<Partition>,
 }
 
-/// Begins a roll-out, unless one of that service is running.
+/// Starts a roll-out, unless one of the same service is running.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StartRollout {
     #[prost(message, required, tag = "1")]
@@ -152,7 +152,7 @@
     pub order_id: OrderId,
 }
 
-/// Changes a roll-out if it still is what the judge saw.
+/// Changes a roll-out if it is still as the judge saw it.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PutRollout {
     #[prost(message, required, tag = "1")]
@@ -161,56 +161,56 @@
     pub now: Rollout,
 }
 
-/// Begins to empty a store machine, if enough others stay.
+/// Starts to drain a store machine, if enough others remain.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StartRetire {
     #[prost(string, tag = "1")]
     pub node: String,
-    /// The store machines that stand and aren't leaving, as the proposer saw them.
+    /// The live store machines that are not shutting down, as the proposer saw them.
     #[prost(string, repeated, tag = "2")]
     pub stores: Vec<String>,
-    /// So many of them must stay.
+    /// The number of them that must remain.
     #[prost(uint32, tag = "3")]
     pub min_remaining: u32,
     #[prost(message, required, tag = "4")]
     pub order_id: OrderId,
 }
 
-/// The end of the retire that began at an index, if the node is empty.
+/// Finishes the retire that was started by the entry `began`, if the node has been drained.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct FinishRetire {
     #[prost(string, tag = "1")]
     pub node: String,
     #[prost(uint64, tag = "2")]
     pub began: u64,
-    /// So many copies each partition is to have.
+    /// The target number of copies of each partition.
     #[prost(uint32, tag = "3")]
     pub replica_count: u32,
     #[prost(uint64, tag = "4")]
     pub born: u64,
 }
 
-/// What the fold made of a command: the same on every control node.
+/// The result of applying a command; it is the same on every control node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApplyResult {
     Done,
-    /// This very order was taken before; it changes nothing.
+    /// A repeat of an accepted order; changes nothing.
     Repeated,
-    /// Something else came first, or is under way.
+    /// Another command was applied first, or another order is in progress.
     Conflict,
-    /// It cannot be granted as things stand.
+    /// The current state does not permit it.
     Refused,
-    /// A command that cannot be decoded; it changes nothing.
+    /// The command cannot be decoded; changes nothing.
     Undecoded,
 }
 
-/// How many copies a partition is to have: a region may have fewer store machines than copies
-/// are wanted.
+/// The target number of copies of a partition. It is lower for a region that has fewer store
+/// machines than `replica_count`.
 pub(crate) fn copies_of(p: &Partition, replica_count: usize) -> usize {
     if p.home.is_empty() { replica_count } else { replica_count.min(p.replicas.len()) }
 }
 
-/// Whether nothing is held by a node any more, and all of it stands elsewhere.
+/// Whether a node holds nothing any more, and every partition has its copies on other nodes.
 pub fn is_drained(partitions: &[Partition], node: &str, replica_count: usize) -> bool {
     !partitions.iter().any(|p| {
         p.owner == node
@@ -223,8 +223,8 @@
 
 pub use rpc::fingerprint;
 
-/// Adds the partitions of a region behind all others, if it has none yet and their numbers are
-/// free; tells whether it did.
+/// Appends the partitions of a region, if it has none yet and their ids are free; returns whether
+/// it did.
 fn add_home_partitions(all: &mut Vec<Partition>, new: Vec<Partition>, index: u64) -> bool {
     let is_taken = |p: &Partition| p.home.is_empty() || all.iter().any(|q| q.home == p.home || q.id == p.id);
     if all.is_empty() || new.is_empty() || new.iter().any(is_taken) {
@@ -235,22 +235,23 @@
 }
 
 impl ControlState {
+    /// Applies the command of a log entry.
     pub fn apply(&mut self, index: u64, data: &Bytes) -> ApplyResult {
         self.apply_with(&mut ConfigurationDocument::default(), index, data)
     }
 
-    /// As `apply`; the tree is of the configuration in force, or of none.
+    /// As `apply`; `document` is the parsed configuration in force, or an empty one.
     pub fn apply_with(&mut self, document: &mut ConfigurationDocument, index: u64, data: &Bytes) -> ApplyResult {
         self.applied = index;
         if data.is_empty() {
-            return ApplyResult::Done; // The log's own.
+            return ApplyResult::Done; // An entry of Raft itself.
         }
-        let Ok(Command { payload: Some(word), at_ms }) = Command::decode(data.clone()) else {
+        let Ok(Command { payload: Some(payload), at_ms }) = Command::decode(data.clone()) else {
             telemetry::count("commands_undecoded");
             return ApplyResult::Undecoded;
         };
         self.reached_ms = self.reached_ms.max(at_ms);
-        match word {
+        match payload {
             CommandPayload::Configuration(t) => {
                 if self.knows_configuration(&t.digest) {
                     return ApplyResult::Repeated;
@@ -258,15 +259,15 @@
                 if t.base != self.revision || t.revision <= self.revision {
                     return ApplyResult::Conflict;
                 }
-                // A change of named items is logged as such, and comes to the same whole
-                // everywhere.
+                // Changes of named items are logged as changes; applying them gives the same
+                // configuration on every node.
                 let json = if t.json.is_empty() {
-                    match self.adjusted(document, &t.change) {
+                    match self.apply_change(document, &t.change) {
                         Ok(j) => j,
                         Err(_) => return ApplyResult::Refused,
                     }
                 } else {
-                    *document = ConfigurationDocument::default(); // Of no use any more, and many times as large.
+                    *document = ConfigurationDocument::default(); // Outdated, and many times the size of the text.
                     t.json
                 };
                 if t.change.is_empty() {
@@ -287,7 +288,7 @@
                 self.configuration = json;
                 self.revision = t.revision;
                 self.accepted.push(KnownConfiguration { revision: t.revision, base: t.base, digest: t.digest });
-                if self.accepted.len() > CONFIGURATIONS {
+                if self.accepted.len() > MAX_KNOWN_CONFIGURATIONS {
                     self.accepted.remove(0);
                 }
                 return ApplyResult::Done;
@@ -315,7 +316,7 @@
                     self.assignments.rollouts.remove(i);
                 }
                 self.assignments.rollouts.push(Rollout { began: index, ..rollout });
-                self.remember(order_id);
+                self.record_order(order_id);
             }
             CommandPayload::PutRollout(PutRollout { was, now }) => {
                 let slot = self.assignments.rollouts.iter_mut().find(|x| **x == was);
@@ -338,7 +339,7 @@
                 }
                 self.assignments.retires.retain(|x| x.node != r.node);
                 self.assignments.retires.push(Retire { node: r.node, done: false, began: index, born: 0 });
-                self.remember(r.order_id);
+                self.record_order(r.order_id);
             }
             CommandPayload::FinishRetire(r) => {
                 let empty = is_drained(&self.assignments.partitions, &r.node, r.replica_count as usize);
@@ -379,20 +380,20 @@
         ApplyResult::Done
     }
 
-    /// The whole that a change makes of the configuration in force.
-    fn adjusted(&self, document: &mut ConfigurationDocument, change: &[u8]) -> Result<Bytes, String> {
+    /// The complete configuration that results from a change of the one in force.
+    fn apply_change(&self, document: &mut ConfigurationDocument, change: &[u8]) -> Result<Bytes, String> {
         if document.revision != self.revision {
             *document = ConfigurationDocument::read(self.revision, &self.configuration)?;
         }
-        let made = document.adjust(change).and_then(|()| document.text());
-        if made.is_err() {
+        let resulting = document.adjust(change).and_then(|()| document.text());
+        if resulting.is_err() {
             *document = ConfigurationDocument::default();
         }
-        made.map(Bytes::from)
+        resulting.map(Bytes::from)
     }
 
-    /// The configuration for one that has revision `have`: what changed since, or
-    /// the whole.
+    /// The update for a node that has revision `have`: the changes since, or else the complete
+    /// configuration.
     pub fn since(&self, have: u64) -> (Option<Bytes>, Vec<ConfigurationStep>) {
         if self.revision <= have {
             return (None, Vec::new());
@@ -403,42 +404,44 @@
         }
     }
 
-    /// Whether this very call has been taken before.
+    /// Whether a configuration request is a repeat of an accepted one.
     pub fn knows_configuration(&self, digest: &[u8]) -> bool {
         !digest.is_empty() && self.accepted.iter().any(|t| t.digest == digest)
     }
 
-    /// Whether an order is one that was taken, sent again. `running`: what it asks for
-    /// is under way, so that its time is not looked at.
+    /// Whether an order is a repeat of an accepted one. While what it asks for is `running`, its
+    /// expiry is ignored.
     pub fn knows_order(&self, order: &OrderId, running: bool) -> bool {
         let same = |t: &&OrderId| !order.digest.is_empty() && t.digest == order.digest;
         self.orders.iter().find(same).is_some_and(|t| running || order.at_ms <= t.until_ms)
     }
 
-    fn remember(&mut self, order: OrderId) {
+    fn record_order(&mut self, order: OrderId) {
         self.orders.retain(|t| t.digest != order.digest && order.at_ms <= t.until_ms);
-        if self.orders.len() >= ORDERS {
+        if self.orders.len() >= MAX_KNOWN_ORDERS {
             self.orders.remove(0);
         }
         self.orders.push(order);
     }
 
-    /// Whether a store machine is being emptied, or was and holds nothing again.
+    /// Whether a store machine is being drained, or has been drained and still holds nothing.
     fn is_retired(&self, node: &str) -> bool {
         let holds = || self.assignments.partitions.iter().any(|p| p.replicas.iter().any(|h| h == node));
         self.assignments.retires.iter().any(|r| r.node == node && (!r.done || !holds()))
     }
 }
 
-/// What an order asks for, if it can be granted as things stand.
+/// The decision on a partition order.
 #[derive(Debug, PartialEq)]
 pub enum OrderVerdict {
+    /// Granted: the partition is to be changed to this.
     Put(Partition),
-    /// It is so already.
+    /// The partition is already as the order asks.
     AlreadyInForce,
     Refused,
 }
 
+/// Decides on an order by the current state of its partition.
 pub fn evaluate_order(p: &Partition, order: &Order) -> OrderVerdict {
     let kind = OrderKind::try_from(order.kind).unwrap_or(OrderKind::None);
     let mut now = p.clone();
@@ -495,19 +498,19 @@
                 g.in_sync.retain(|n| *n != order.node);
             }
         }
-        // Ruled on by whoever knows which machines stand.
+        // `Replace` is decided by the leader, which knows the live machines.
         OrderKind::Replace | OrderKind::None => return OrderVerdict::Refused,
     }
     OrderVerdict::Put(now)
 }
 
-/// How far a store node counts for the partitions that it holds a copy of.
+/// To what extent a store node's copies of partitions count.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CopyHealth {
-    /// Its session stands, its disk keeps up, and it holds what it held when it took part last.
+    /// Its session is live, its disk is healthy, and it still holds what it had when it was last in sync.
     Sound,
-    /// Its session stands and its disk does not keep up: it owns nothing, and its copy counts
-    /// until another node holds one in its place.
+    /// Its session is live, but its disk does not keep up: it may own nothing, and its copy counts
+    /// only until another node holds one in its place.
     Impaired,
     /// Its copy does not count.
     Gone,
@@ -519,9 +522,10 @@
     }
 }
 
-/// What becomes of a partition when some of its nodes' incarnations have ended, or may own
-/// nothing. `incarnation` is the incarnation that a node is in, if it has told that already: who
-/// has not is presumed to be as it was, but is given nothing.
+/// The change that a partition needs after incarnations of its nodes have ended, or if nodes may
+/// not own anything; None if it needs none or none is possible. `incarnation` gives the current
+/// incarnation of a node if it has reported one: a node that has not is presumed to be unchanged,
+/// but does not become the owner.
 pub fn seize(
     p: &Partition,
     health: impl Fn(&str) -> CopyHealth,
@@ -529,29 +533,30 @@
 ) -> Option<Partition> {
     let mut now = p.clone();
     let is_sound = |n: &str| health(n) == CopyHealth::Sound;
-    // An owner in another incarnation remembers nothing of its term: a new one is needed.
-    let owner = is_sound(&p.owner) && incarnation(&p.owner).is_none_or(|l| l == p.joined_incarnation(&p.owner));
-    if owner && p.grant.as_ref().is_none_or(|g| is_sound(&g.candidate)) {
-        // Only followers can be missing: they stop holding up the owner.
+    // An owner in another incarnation has lost the state of its term, so a new term is needed.
+    let owner_continues =
+        is_sound(&p.owner) && incarnation(&p.owner).is_none_or(|l| l == p.joined_incarnation(&p.owner));
+    if owner_continues && p.grant.as_ref().is_none_or(|g| is_sound(&g.candidate)) {
+        // Only followers can be gone: they are removed, so that the owner need not wait for them.
         now.in_sync.retain(|n| *n == p.owner || health(n).counts());
         if let Some(g) = &mut now.grant {
             g.in_sync.retain(|n| *n == g.candidate || health(n).counts());
         }
         return (now != *p).then_some(now);
     }
-    // With a grant out, the candidate may have resumed behind the marker: only
-    // nodes that both terms write to hold everything.
+    // While a grant is pending, the candidate may already write in its new term: only the nodes
+    // that both terms write to hold everything.
     let eligible: Vec<&String> = p
         .in_sync
         .iter()
         .filter(|n| p.grant.as_ref().is_none_or(|g| g.in_sync.contains(n)))
         .filter(|n| health(n).counts())
         .collect();
-    let told = || eligible.iter().filter(|n| is_sound(n) && incarnation(n).is_some());
-    let next = told()
+    let candidates = || eligible.iter().filter(|n| is_sound(n) && incarnation(n).is_some());
+    let next = candidates()
         .find(|n| **n != &p.owner && p.replicas.first() == Some(**n))
-        .or(told().find(|n| **n != &p.owner))
-        .or(told().next())?;
+        .or(candidates().find(|n| **n != &p.owner))
+        .or(candidates().next())?;
     now.owner = next.to_string();
     now.term = p.grant.as_ref().map_or(p.term, |g| g.term) + 1;
     now.in_sync = eligible.iter().map(|n| n.to_string()).collect();
@@ -561,23 +566,23 @@
     Some(now)
 }
 
-/// Nobody acts as a partition's owner, though nodes that hold all of it are
-/// there: as after the end of all processes at once. One of them begins anew.
+/// Gives a partition an owner in a new term if none acts as its owner, although nodes that hold all
+/// of it are live, as after all processes ended at once. The former owner is preferred.
 pub fn restore_owner(
     p: &Partition,
     health: impl Fn(&str) -> CopyHealth,
     incarnation: impl Fn(&str) -> Option<u64>,
 ) -> Option<Partition> {
-    let all = || {
-        let holders = p.in_sync.iter().filter(|n| p.grant.as_ref().is_none_or(|g| g.in_sync.contains(n)));
-        holders.filter(|n| health(n).counts())
+    let holders = || {
+        let eligible = p.in_sync.iter().filter(|n| p.grant.as_ref().is_none_or(|g| g.in_sync.contains(n)));
+        eligible.filter(|n| health(n).counts())
     };
-    let sound = || all().filter(|n| health(n) == CopyHealth::Sound);
+    let sound = || holders().filter(|n| health(n) == CopyHealth::Sound);
     let next = sound().find(|n| **n == p.owner).or_else(|| sound().next())?;
     let mut now = Partition {
         owner: next.clone(),
         term: p.grant.as_ref().map_or(p.term, |g| g.term) + 1,
-        in_sync: all().cloned().collect(),
+        in_sync: holders().cloned().collect(),
         grant: None,
         seized: true,
         ..p.clone()
