--- a/crates/control/src/orders.rs
+++ b/crates/control/src/orders.rs
@@ -41,7 +41,7 @@
             match replace_replica(was, &o.node, all, &machines, replica_count, self.spread()) {
                 Some(put) if put.replicas.len() == was.replicas.len() => {
                     telemetry::change!(
-                        "partition {}: replica {} is not reachable from its owner; new replicas {:?}",
+                        "partition {}: {} is not heard by its owner, replicas {:?}",
                         was.id,
                         o.node,
                         put.replicas
