--- a/crates/control/src/storage.rs
+++ b/crates/control/src/storage.rs
@@ -43,9 +43,8 @@
         },
         _ => {}
     })?;
-    let with_remedy = |what: String| {
-        format!("{}: {what}; empty this disk, and it is filled again from the other control nodes", settings.data_dir)
-    };
+    let with_remedy =
+        |what: String| format!("{}: {what}; empty this disk and the others will fill it", settings.data_dir);
     if let Some(e) = decode_error {
         return Err(with_remedy(e));
     }
