--- a/crates/control/tests/clock_steps.rs
+++ b/crates/control/tests/clock_steps.rs
@@ -1,6 +1,6 @@
-//! The time under any steps of any share of the clocks, with losses of the leader, of the
-//! owner and of all power: nothing ends early, the time never goes back, and it is slewed
-//! within its bound.
+//! Property test of the cluster time and of partition times: under arbitrary steps of any number
+//! of wall clocks, with losses of the leader, of the owner and of all power, no message expires
+//! early, the time never goes back, and its rate stays within the slew bound.
 
 use control::ClusterClock;
 use partition::{PartitionClock, with_slew_margin};
@@ -12,32 +12,32 @@
 const TICK_MS: u64 = 100;
 const RETENTION_MS: u64 = 9_000;
 const TOLERANCE_MS: u64 = 50;
-const READINGS_KEPT_MS: u64 = 1_000;
-/// Before a leader that heard nobody carry the time starts it from the logs.
-const LEADER_WAIT_MS: u64 = 250;
-/// An owner with messages that have not ended writes a record at least as often.
-const RECORD_EVERY_MS: u64 = 1_000;
-/// Four seconds a day are 46.
+const MAX_READING_AGE_MS: u64 = 1_000;
+/// How long a new leader waits for a carried time before it starts the time from the logs.
+const LEADER_LISTEN_MS: u64 = 250;
+/// The longest interval between records of an owner that has unfinished messages.
+const RECORD_INTERVAL_MS: u64 = 1_000;
+/// Four seconds per day are 46 ppm.
 const DRIFT_PPM: i64 = 50;
 
 #[derive(Clone, Debug)]
 enum Event {
     Wait(u64),
-    /// The clocks of the machines whose bits are set step by so much; bits 0 to 2 are the
-    /// control machines, 3 to 5 the store machines.
+    /// The wall clocks of the machines whose bits are set step by this many milliseconds; bits 0 to
+    /// 2 are the control machines, 3 to 5 the store machines.
     Step(u8, i64),
     Accept,
-    /// The leader's process is lost and another control machine leads.
+    /// The leader's process is lost, and another control machine becomes the leader.
     LoseLeader,
-    /// Another control machine leads; the process of the former one goes on.
-    DeposeLeader,
-    /// The owner's process is lost and another replica owns the partition.
+    /// Another control machine becomes the leader, while the former leader keeps running.
+    ReplaceLeader,
+    /// The owner's process is lost, and another replica becomes the owner.
     LoseOwner,
-    /// By a planned move.
-    PassOwnership,
-    /// A replica's process begins anew.
+    /// A planned move to another replica.
+    MoveOwnership,
+    /// A replica's process restarts.
     RestartFollower,
-    /// All power is lost for so long.
+    /// All power is lost for this many milliseconds.
     LosePower(u64),
 }
 
@@ -49,15 +49,15 @@
         2 => step.prop_map(|by| Event::Step(63, by)),
         4 => Just(Event::Accept),
         1 => Just(Event::LoseLeader),
-        1 => Just(Event::DeposeLeader),
+        1 => Just(Event::ReplaceLeader),
         1 => Just(Event::LoseOwner),
-        1 => Just(Event::PassOwnership),
+        1 => Just(Event::MoveOwnership),
         1 => Just(Event::RestartFollower),
         1 => (1..20_000u64).prop_map(Event::LosePower),
     ]
 }
 
-/// A machine's clocks: the steady one drifts, the time of day also steps.
+/// A machine's clocks: the monotonic clock drifts, and the wall clock also steps.
 #[derive(Clone, Copy)]
 struct Machine {
     drift_ppm: i64,
@@ -77,44 +77,44 @@
 struct Accepted {
     at: u64,
     record_ms: u64,
-    given_up: Option<u64>,
+    expired_at: Option<u64>,
 }
 
-struct World {
+struct Simulation {
     at: u64,
     machines: Vec<Machine>,
     control: Vec<ClusterClock>,
     carried: Vec<CarriedTime>,
     partition: Vec<PartitionClock>,
     leader: usize,
-    leads_since: u64,
+    leader_since: u64,
     owner: usize,
-    /// What the owner read first since it owns, by its time and its steady clock.
-    first_read: Option<(u64, u64)>,
+    /// The owner's first reading since it became the owner: partition time and monotonic clock.
+    first_reading: Option<(u64, u64)>,
     last_record_ms: u64,
     logged_ms: u64,
     accepted: Vec<Accepted>,
-    /// What a loss of power may make messages late by: the time without it, and the time
-    /// since the last record.
-    powerless_ms: u64,
+    /// How much later messages may expire because of losses of power: the time without power, and
+    /// the time since the last record.
+    power_loss_ms: u64,
 }
 
-impl World {
-    fn new(drifts: &[i64]) -> World {
-        World {
+impl Simulation {
+    fn new(drifts: &[i64]) -> Simulation {
+        Simulation {
             at: 0,
             machines: drifts.iter().map(|d| Machine { drift_ppm: *d, step_ms: 0 }).collect(),
             control: (0..MACHINES).map(|_| new_clock()).collect(),
             carried: vec![CarriedTime::default(); MACHINES],
             partition: vec![PartitionClock::default(); MACHINES],
             leader: 0,
-            leads_since: 0,
+            leader_since: 0,
             owner: 0,
-            first_read: None,
+            first_reading: None,
             last_record_ms: 0,
             logged_ms: 0,
             accepted: Vec::new(),
-            powerless_ms: 0,
+            power_loss_ms: 0,
         }
     }
 
@@ -134,16 +134,16 @@
                 self.control[self.leader] = new_clock();
                 self.lead((self.leader + 1) % MACHINES);
             }
-            Event::DeposeLeader => self.lead((self.leader + 1) % MACHINES),
+            Event::ReplaceLeader => self.lead((self.leader + 1) % MACHINES),
             Event::LoseOwner => {
                 self.restart_store(self.owner);
                 self.own((self.owner + 1) % MACHINES);
             }
-            Event::PassOwnership => self.own((self.owner + 1) % MACHINES),
+            Event::MoveOwnership => self.own((self.owner + 1) % MACHINES),
             Event::RestartFollower => self.restart_store((self.owner + 1) % MACHINES),
             Event::LosePower(ms) => {
                 self.at += ms;
-                self.powerless_ms += ms + RECORD_EVERY_MS + TICK_MS;
+                self.power_loss_ms += ms + RECORD_INTERVAL_MS + TICK_MS;
                 for n in 0..MACHINES {
                     self.control[n] = new_clock();
                     self.restart_store(n);
@@ -156,13 +156,13 @@
 
     fn lead(&mut self, n: usize) {
         self.leader = n;
-        self.leads_since = self.at;
+        self.leader_since = self.at;
         self.control[n].begin_term();
     }
 
     fn own(&mut self, n: usize) {
         self.owner = n;
-        self.first_read = None;
+        self.first_reading = None;
     }
 
     fn restart_store(&mut self, n: usize) {
@@ -178,15 +178,15 @@
     }
 
     fn tick(&mut self) {
-        self.leases();
+        self.renew_leases();
         let Some(time) = self.owner_time() else { return };
         let at = self.at;
-        for m in self.accepted.iter_mut().filter(|m| m.given_up.is_none()) {
+        for m in self.accepted.iter_mut().filter(|m| m.expired_at.is_none()) {
             if time > m.record_ms + with_slew_margin(RETENTION_MS) {
-                m.given_up = Some(at);
+                m.expired_at = Some(at);
             }
         }
-        if time >= self.last_record_ms + RECORD_EVERY_MS {
+        if time >= self.last_record_ms + RECORD_INTERVAL_MS {
             self.write_record(time);
         }
         for n in (0..MACHINES).filter(|n| *n != self.owner) {
@@ -195,7 +195,7 @@
         }
     }
 
-    fn leases(&mut self) {
+    fn renew_leases(&mut self) {
         let (at, leader) = (self.at, self.leader);
         let now = self.machines[leader].steady(at);
         for (n, m) in self.machines.iter().enumerate() {
@@ -211,7 +211,7 @@
             let reached = self.partition[n].latest_time(self.store(n).steady(at));
             self.control[leader].record_logged(reached);
         }
-        if at >= self.leads_since + LEADER_WAIT_MS {
+        if at >= self.leader_since + LEADER_LISTEN_MS {
             self.control[leader].start_from_logs(self.logged_ms, MACHINES + 1, now);
         }
         self.control[leader].correct(MACHINES + 1, now);
@@ -225,29 +225,29 @@
         }
     }
 
-    /// None while the owner's lease waits for the cluster's time.
+    /// The partition time at its owner; None while its lease waits for the cluster time.
     fn owner_time(&mut self) -> Option<u64> {
         let now = self.store(self.owner).steady(self.at);
         let cluster = self.carried[self.owner].time(now)?;
         let time = self.partition[self.owner].owner_time(Some(cluster), now);
-        assert!(time >= self.last_record_ms, "the time went back behind a record");
-        let (read, read_at) = *self.first_read.get_or_insert((time, now));
+        assert!(time >= self.last_record_ms, "the time is earlier than the last record");
+        let (read, read_at) = *self.first_reading.get_or_insert((time, now));
         let (passed, steady) = (time - read, now - read_at);
         let bound = steady * PARTITION_SLEW_PPM / 1_000_000 + 1;
-        assert!(passed.abs_diff(steady) <= bound, "{passed} ms passed in {steady}");
+        assert!(passed.abs_diff(steady) <= bound, "partition time advanced by {passed} ms in {steady} ms");
         Some(time)
     }
 
     fn accept(&mut self) {
         self.at += TICK_MS;
-        self.leases();
+        self.renew_leases();
         let Some(record_ms) = self.owner_time() else { return };
         self.write_record(record_ms);
-        self.logged_ms = self.logged_ms.max(self.carried_by_leader());
-        self.accepted.push(Accepted { at: self.at, record_ms, given_up: None });
+        self.logged_ms = self.logged_ms.max(self.leader_time());
+        self.accepted.push(Accepted { at: self.at, record_ms, expired_at: None });
     }
 
-    /// Every replica holds it when it counts.
+    /// Writes a record, which all replicas hold before it takes effect.
     fn write_record(&mut self, record_ms: u64) {
         self.last_record_ms = record_ms;
         for n in 0..MACHINES {
@@ -256,13 +256,13 @@
         }
     }
 
-    fn carried_by_leader(&self) -> u64 {
+    fn leader_time(&self) -> u64 {
         self.control[self.leader].time(self.machines[self.leader].steady(self.at)).unwrap_or(0)
     }
 }
 
 fn new_clock() -> ClusterClock {
-    ClusterClock::new(TOLERANCE_MS, READINGS_KEPT_MS)
+    ClusterClock::new(TOLERANCE_MS, MAX_READING_AGE_MS)
 }
 
 proptest! {
@@ -273,20 +273,20 @@
         drifts in proptest::collection::vec(-DRIFT_PPM..DRIFT_PPM, 2 * MACHINES),
         events in proptest::collection::vec(event(), 1..60),
     ) {
-        let mut world = World::new(&drifts);
-        world.run(1_000);
+        let mut simulation = Simulation::new(&drifts);
+        simulation.run(1_000);
         for e in &events {
-            world.apply(e);
+            simulation.apply(e);
         }
-        let powerless = world.powerless_ms;
-        world.run(2 * RETENTION_MS);
-        for m in &world.accepted {
-            let given_up = m.given_up.expect("a message that is due is given up");
-            let after = given_up - m.at;
-            prop_assert!(after >= RETENTION_MS, "given up after {after} ms");
-            // Each change of the owner may cost a tick, a change of the leader its wait.
-            let late = powerless + events.len() as u64 * (LEADER_WAIT_MS + 2 * TICK_MS);
-            prop_assert!(after <= with_slew_margin(with_slew_margin(RETENTION_MS)) + late, "given up only after {after} ms");
+        let power_loss = simulation.power_loss_ms;
+        simulation.run(2 * RETENTION_MS);
+        for m in &simulation.accepted {
+            let expired_at = m.expired_at.expect("a message past its retention expires");
+            let after = expired_at - m.at;
+            prop_assert!(after >= RETENTION_MS, "expired after {after} ms");
+            // Each change of the owner may cost a tick, and each change of the leader its wait.
+            let max_delay = power_loss + events.len() as u64 * (LEADER_LISTEN_MS + 2 * TICK_MS);
+            prop_assert!(after <= with_slew_margin(with_slew_margin(RETENTION_MS)) + max_delay, "expired only after {after} ms");
         }
     }
 }
