--- a/crates/control/tests/disk.rs
+++ b/crates/control/tests/disk.rs
@@ -1,4 +1,4 @@
-//! Records of a control node's disk that contradict each other: none is made the best of.
+//! Checks of the records on a control node's disk: contradictory ones are refused, never repaired.
 
 use bytes::Bytes;
 use control::*;
@@ -18,22 +18,22 @@
 }
 
 #[test]
-fn a_disk_that_agrees_with_itself_is_taken() {
-    // Entries come in any order, and those that the snapshot holds may still be there.
+fn consistent_records_are_accepted() {
+    // Entries may be in any order, and may include some that the snapshot covers.
     let log = vec![entry(7, 3), entry(5, 2), entry(6, 2)];
-    let k = StoredState::check(hard(3, 5, 2), state(5), log, false).expect("they agree");
-    assert_eq!((k.log.len(), k.control_state.revision, k.control_state.applied), (2, 3, 5));
-    // A state of an earlier release does not say through which entry it is.
-    let k = StoredState::check(hard(3, 5, 2), state(0), vec![], false).expect("taken by its record");
-    assert_eq!(k.control_state.applied, 5);
+    let stored = StoredState::check(hard(3, 5, 2), state(5), log, false).expect("consistent");
+    assert_eq!((stored.log.len(), stored.control_state.revision, stored.control_state.applied), (2, 3, 5));
+    // Earlier releases wrote snapshots without the index of the last applied entry.
+    let stored = StoredState::check(hard(3, 5, 2), state(0), vec![], false).expect("accepted by the vote record");
+    assert_eq!(stored.control_state.applied, 5);
     assert!(StoredState::check(HardState::default(), Bytes::new(), vec![], true).is_ok());
 }
 
 #[test]
-fn a_disk_that_contradicts_itself_is_refused_with_a_reason() {
+fn contradictory_records_are_refused_with_a_reason() {
     let refused = |h, s, l: Vec<RaftEntry>| match StoredState::check(h, s, l, false) {
         Err(e) => e,
-        Ok(_) => panic!("taken"),
+        Ok(_) => panic!("accepted"),
     };
     assert!(refused(hard(3, 5, 2), state(4), vec![]).contains("as of entry 4"));
     assert!(refused(hard(3, 5, 2), state(6), vec![]).contains("as of entry 6"));
