--- a/crates/control/tests/common/loopback.rs
+++ b/crates/control/tests/common/loopback.rs
@@ -1,4 +1,4 @@
-//! A control node on loopback, beside a platform that a test answers for.
+//! Runs a control node on loopback, with a platform that the test simulates.
 
 use config::Settings;
 use http1::{Bounds, Call, ClientWatch, Closing, ConnectionPool, Reply, Request};
@@ -8,12 +8,12 @@
 
 pub const WAIT: Duration = Duration::from_secs(5);
 
-/// A platform that answers each call by `answer`; its address.
+/// Starts a simulated platform that answers each request by `answer`; returns its address.
 pub async fn platform(answer: impl Fn(&Request) -> Reply + Send + Sync + 'static) -> String {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
-    let (open, closing) = watch::channel(Closing::Open);
-    std::mem::forget(open);
+    let (keep_open, closing) = watch::channel(Closing::Open);
+    std::mem::forget(keep_open);
     let answer = std::sync::Arc::new(answer);
     tokio::spawn(http1::listen(listener, Bounds::default, closing, ClientWatch::Off, move |request| {
         let answer = answer.clone();
@@ -22,11 +22,11 @@
     address
 }
 
-/// Settings of a control node of a kind of deployment, on ports that are free from `first` on.
-pub fn settings(rollout: &str, platform: &str, first: u16) -> Settings {
-    let from = first + (std::process::id() % 400) as u16 * 20;
+/// Settings of a control node for the deployment kind `rollout`, on free ports above `first_port`.
+pub fn settings(rollout: &str, platform: &str, first_port: u16) -> Settings {
+    let from = first_port + (std::process::id() % 400) as u16 * 20;
     let free = |b: &u16| (*b..*b + 6).all(|p| std::net::TcpListener::bind(("127.0.0.1", p)).is_ok());
-    let base = (from..first + 10_000).step_by(20).find(free).expect("free ports") as u32;
+    let base = (from..first_port + 10_000).step_by(20).find(free).expect("free ports") as u32;
     let data = std::env::temp_dir().join(format!("willowslip-control-{rollout}-{base}"));
     let mut settings = Settings {
         node: "core-1".into(),
@@ -49,7 +49,8 @@
     settings
 }
 
-/// One incarnation of the control node: nothing of it goes on when it has ended.
+/// Runs one incarnation of the control node in a runtime of its own, so that none of its tasks
+/// outlives it.
 pub fn run(settings: &Settings) -> (watch::Sender<bool>, tokio::task::JoinHandle<Result<(), String>>) {
     let (stop, stopped) = watch::channel(false);
     let settings = settings.clone();
@@ -61,12 +62,12 @@
     (stop, tokio::task::spawn_blocking(incarnation))
 }
 
-/// Sends an order of the operator until it is acknowledged.
+/// Sends an operator order until it is acknowledged.
 pub async fn order(settings: &Settings, path: &str, body: &str) {
     let pool = ConnectionPool::new(WAIT);
     let control = settings.listen.control.as_str();
     let headers = [("X-Base-Revision", "0")];
-    let begun = Instant::now();
+    let started = Instant::now();
     loop {
         let call = Call {
             method: "POST",
@@ -81,7 +82,7 @@
         if pool.call(control, call, 2, WAIT).await.is_ok_and(|answer| answer.status == 200) {
             return;
         }
-        assert!(begun.elapsed() < 3 * WAIT, "not acknowledged: {path}");
+        assert!(started.elapsed() < 3 * WAIT, "order not acknowledged in time: {path}");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
