--- a/crates/control/tests/orders.rs
+++ b/crates/control/tests/orders.rs
@@ -1,13 +1,13 @@
-//! Operators' orders against the state that the log folds into: what is taken, known
-//! again, beaten or refused, whoever leads and after a snapshot.
+//! Operator orders against the replicated state machine: which are accepted, recognised as
+//! repeats, in conflict or refused, under any leader and after a snapshot.
 
 use bytes::Bytes;
 use control::*;
 use prost::Message;
 use rpc::messages::{Grant, Partition, Rollout, Sample, ZoneUse};
 
-/// One log; two members fold its entries, one of which begins anew from a snapshot
-/// before each, and now and then once there are very many.
+/// A log whose entries are applied to two replicas, one of which is restored from a snapshot
+/// before each entry; after 1000 entries only before every hundredth.
 #[derive(Default)]
 struct Log {
     index: u64,
@@ -15,8 +15,8 @@
 }
 
 impl Log {
-    fn put(&mut self, word: CommandPayload) -> ApplyResult {
-        self.raw(Command { payload: Some(word), at_ms: 0 }.encode_to_vec().into())
+    fn put(&mut self, payload: CommandPayload) -> ApplyResult {
+        self.raw(Command { payload: Some(payload), at_ms: 0 }.encode_to_vec().into())
     }
 
     fn raw(&mut self, data: Bytes) -> ApplyResult {
@@ -27,7 +27,7 @@
         let mut other = ControlState::decode(self.control_state.encode_to_vec().as_slice()).expect("a snapshot");
         let applied = self.control_state.apply(self.index, &data);
         assert_eq!(other.apply(self.index, &data), applied);
-        assert!(other == self.control_state, "the fold depends on more than its state and the log");
+        assert!(other == self.control_state, "the result depends on more than the state and the log");
         applied
     }
 
@@ -76,25 +76,25 @@
     }
 }
 
-const WHOLE: &str = r#"{"revision":3,"channels":[],"plants":[{"name":"p"}],"limits":{}}"#;
+const CONFIGURATION: &str = r#"{"revision":3,"channels":[],"plants":[{"name":"p"}],"limits":{}}"#;
 
 #[test]
-fn of_two_roll_outs_of_a_service_one_is_taken_and_its_repeat_is_known() {
+fn of_two_roll_outs_of_a_service_one_is_accepted_and_its_repeat_is_recognised() {
     let mut l = Log::default();
     assert_eq!((l.rollout("v2", 10), l.rollout("v3", 10)), (ApplyResult::Done, ApplyResult::Conflict));
-    // Under way with one leader and sent to the next; and long after, while it runs.
+    // Repeats while the roll-out runs, as through the next leader: shortly and long after the first.
     assert_eq!((l.rollout("v2", 500), l.rollout("v2", 90_000)), (ApplyResult::Repeated, ApplyResult::Repeated));
     let first = l.running();
     assert_eq!((first.target.as_str(), first.began), ("v2", 1));
     assert_eq!(l.judge(&first, "reverted"), ApplyResult::Done);
-    // Within its time it is the order that was taken; behind that it is a new one.
+    // Until it expires the same order is a repeat; after that it is a new order.
     assert_eq!(l.rollout("v2", 1010), ApplyResult::Repeated);
     assert_eq!(l.running().state, "reverted");
     assert_eq!(l.rollout("v2", 1011), ApplyResult::Done);
     let second = l.running();
     assert_eq!((second.state.as_str(), second.began), ("running", 7));
     assert_eq!(l.rollout("v2", 1900), ApplyResult::Repeated);
-    // One that was beaten was never taken: it may come again once the way is free.
+    // An order that met a conflict was not accepted: it may be sent again once nothing runs.
     assert_eq!(l.rollout("v3", 1950), ApplyResult::Conflict);
     l.judge(&second, "settled");
     assert_eq!(l.rollout("v3", 1960), ApplyResult::Done);
@@ -107,9 +107,8 @@
     let first = l.running();
     assert_eq!((l.judge(&first, "reverted"), l.judge(&first, "settled")), (ApplyResult::Done, ApplyResult::Conflict));
     let ended = l.running();
-    assert_eq!(l.judge(&ended, "running"), ApplyResult::Conflict, "an end is an end");
-    // The same once more, all fields but its beginning alike: what was seen of the
-    // first decides nothing.
+    assert_eq!(l.judge(&ended, "running"), ApplyResult::Conflict, "a finished roll-out is not resumed");
+    // A second roll-out that differs only in `began`: a decision on the first does not apply.
     assert_eq!(l.rollout("v2", 5000), ApplyResult::Done);
     assert_eq!(Rollout { began: first.began, ..l.running() }, first);
     assert_eq!(l.judge(&first, "settled"), ApplyResult::Conflict);
@@ -118,7 +117,7 @@
     other.began = 99;
     let (was, now) = (l.running(), other);
     assert_eq!(l.put(CommandPayload::PutRollout(PutRollout { was, now })), ApplyResult::Done);
-    assert_ne!(l.running().began, 99, "it stays what it is");
+    assert_ne!(l.running().began, 99, "`began` cannot be changed");
 }
 
 #[test]
@@ -140,7 +139,7 @@
     p.track_rollout(5);
     assert!(
         matches!(p.decide(&r, 1000, 500, 25.0), RolloutDecision::Revert(_)),
-        "an order that was refused hides nothing"
+        "a refused order does not discard the samples"
     );
     p.track_rollout(9);
     assert_eq!(p.decide(&r, 1000, 500, 25.0), RolloutDecision::Wait);
@@ -163,29 +162,29 @@
     assert_eq!(got, [ApplyResult::Done, ApplyResult::Refused, ApplyResult::Refused]);
     assert_eq!((l.retire("a", &all, 20), l.retire("a", &[], 900)), (ApplyResult::Repeated, ApplyResult::Repeated));
     let began = l.control_state.assignments.retires[0].began;
-    // Done when the log itself says that it holds nothing, and that all is elsewhere.
-    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "it owns one");
+    // It is finished only when the log shows that the node holds nothing and all copies are elsewhere.
+    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "it owns a partition");
     l.partition(|p| (p.owner, p.replicas) = ("b".into(), vec!["b".into(), "c".into()]));
-    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "it follows one");
+    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "it is a replica of a partition");
     l.partition(|p| p.in_sync = vec!["b".into()]);
-    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "one copy is lacking");
+    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "a copy is missing");
     l.partition(|p| p.in_sync = vec!["b".into(), "c".into()]);
     l.partition(|p| p.grant = Some(Grant { term: 2, candidate: "c".into(), in_sync: vec![] }));
-    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "a move is under way");
+    assert_eq!(l.finish("a", began), ApplyResult::Conflict, "an ownership grant is pending");
     l.partition(|p| p.grant = None);
     assert_eq!(l.finish("a", began + 1), ApplyResult::Conflict, "another retire");
     assert_eq!((l.finish("a", began), l.finish("a", began)), (ApplyResult::Done, ApplyResult::Conflict));
-    // Sent again though the node is gone; and one that still stands does not count.
+    // A repeat after the node has left; and a retired node that is still live does not count.
     assert_eq!(l.retire("a", &["b", "c"], 1000), ApplyResult::Repeated);
     assert_eq!(l.retire("b", &all, 1000), ApplyResult::Refused);
-    // A machine of that name that is in use again is one more, and may be emptied anew.
+    // If the machine is in use again, it counts and can be retired again.
     l.partition(|p| (p.replicas, p.in_sync) = (vec!["b".into(), "a".into()], vec!["b".into(), "a".into()]));
     assert_eq!(l.retire("a", &all, 2000), ApplyResult::Done);
     assert!(l.control_state.assignments.retires[0].began > began && !l.control_state.assignments.retires[0].done);
 }
 
 #[test]
-fn an_order_is_known_by_all_that_tells_it_from_others() {
+fn a_digest_covers_everything_that_distinguishes_orders() {
     let parts =
         [("replace", "", 0, 3, "x"), ("adjust", "", 0, 3, "x"), ("replace", "", 1, 3, "x"), ("replace", "", 0, 4, "x")];
     let more = [
@@ -201,14 +200,15 @@
 }
 
 #[test]
-fn one_number_is_one_configuration() {
+fn a_revision_is_used_by_one_configuration_only() {
     let mut l = Log::default();
-    // Eight at once, some with one number, some with equal bytes; each of them twice.
-    let other = WHOLE.replace("\"p\"", "\"q\"");
-    let bodies: Vec<(&str, u64, String)> =
-        (0..8u64).map(|n| ("replace", 3 + n / 4, if n % 2 == 0 { WHOLE.to_owned() } else { other.clone() })).collect();
+    // Eight requests with the same base: two revisions and two bodies, each combination twice.
+    let other = CONFIGURATION.replace("\"p\"", "\"q\"");
+    let bodies: Vec<(&str, u64, String)> = (0..8u64)
+        .map(|n| ("replace", 3 + n / 4, if n % 2 == 0 { CONFIGURATION.to_owned() } else { other.clone() }))
+        .collect();
     let first: Vec<ApplyResult> = bodies.iter().map(|(k, r, b)| l.config(k, 0, *r, b)).collect();
-    let same = |n: usize| bodies[n].1 == 3 && bodies[n].2 == WHOLE;
+    let same = |n: usize| bodies[n].1 == 3 && bodies[n].2 == CONFIGURATION;
     for (n, got) in first.iter().enumerate() {
         let wanted = if n == 0 {
             ApplyResult::Done
@@ -219,12 +219,12 @@
         };
         assert_eq!(*got, wanted, "{n}");
     }
-    assert_eq!(l.control_state.configuration, WHOLE);
-    // Equal bytes as another kind of order, or on another base, are no repeat.
-    assert_eq!(l.config("adjust", 0, 3, WHOLE), ApplyResult::Conflict);
-    assert_eq!(l.config("replace", 2, 3, WHOLE), ApplyResult::Conflict);
-    assert_eq!(l.config("replace", 3, 3, WHOLE), ApplyResult::Conflict, "a number is not used twice");
-    // Changes that do not apply: on the newest version, and on a stale one.
+    assert_eq!(l.control_state.configuration, CONFIGURATION);
+    // The same body as another kind of request, or with another base, is not a repeat.
+    assert_eq!(l.config("adjust", 0, 3, CONFIGURATION), ApplyResult::Conflict);
+    assert_eq!(l.config("replace", 2, 3, CONFIGURATION), ApplyResult::Conflict);
+    assert_eq!(l.config("replace", 3, 3, CONFIGURATION), ApplyResult::Conflict, "a revision is not used twice");
+    // Changes that cannot be applied, with the current and with an outdated base.
     let before = l.control_state.clone();
     for (base, wanted) in [(3, ApplyResult::Refused), (2, ApplyResult::Conflict)] {
         assert_eq!(l.config("adjust", base, 9, r#"{"revision":9,"remove":{"nowhere":["p"]}}"#), wanted);
@@ -232,10 +232,10 @@
     }
     assert!(l.control_state == ControlState { applied: l.index, ..before });
     assert_eq!(l.config("adjust", 3, 9, r#"{"revision":9,"remove":{"plants":["p"]}}"#), ApplyResult::Done);
-    // Taken stays taken, with other changes since.
-    assert_eq!(l.config("replace", 0, 3, WHOLE), ApplyResult::Repeated);
+    // An accepted configuration is recognised after later changes too.
+    assert_eq!(l.config("replace", 0, 3, CONFIGURATION), ApplyResult::Repeated);
     assert_eq!(l.config("replace", 0, 3, &other), ApplyResult::Conflict);
-    // What carries no digest is no repeat of anything.
+    // A command without a digest is never a repeat.
     let bare = PutConfiguration { base: 9, revision: 11, json: "{}".into(), ..PutConfiguration::default() };
     assert_eq!(l.put(CommandPayload::Configuration(bare.clone())), ApplyResult::Done);
     assert_eq!(l.put(CommandPayload::Configuration(bare)), ApplyResult::Conflict);
@@ -258,10 +258,10 @@
     for n in [4999, 4990, 5000 - 256] {
         assert!(l.control_state.knows_configuration(&digest("replace", "", n, n + 1, b"{}")), "{n}");
     }
-    // All that may come again is there, and what may not is not.
+    // Only orders that have not expired are kept.
     assert!((100..=102).contains(&l.control_state.orders.len()), "{}", l.control_state.orders.len());
     assert!(largest < 64 << 10, "{largest} bytes of state");
-    // Also when the time does not go on.
+    // The bound holds also if the time does not advance.
     for n in 0..1000 {
         l.rollout(&format!("w{n}"), 49_990);
         let r = l.running();
@@ -271,19 +271,19 @@
 }
 
 #[test]
-fn what_cannot_be_decoded_is_counted_and_changes_nothing() {
+fn undecodable_commands_are_counted_and_change_nothing() {
     let mut l = Log::default();
-    l.config("replace", 0, 3, WHOLE);
+    l.config("replace", 0, 3, CONFIGURATION);
     let before = (l.control_state.clone(), telemetry::get("commands_undecoded"));
-    // Noise, a command cut short, and one of a kind that this program does not know.
+    // Random bytes, a truncated command, and a command of an unknown kind.
     let mut whole = Command { payload: Some(CommandPayload::Layout(Layout::default())), at_ms: 0 }.encode_to_vec();
     whole.truncate(1);
     for bad in [&b"\xff\xff\xff"[..], &whole, &[0xfa, 0x01, 0x00]] {
         assert_eq!(l.raw(Bytes::copy_from_slice(bad)), ApplyResult::Undecoded, "{bad:?}");
     }
     assert!(l.control_state == ControlState { applied: l.index, ..before.0 });
-    assert_eq!(telemetry::get("commands_undecoded"), before.1 + 6, "once for each member");
-    assert_eq!(l.raw(Bytes::new()), ApplyResult::Done, "the log's own entries carry nothing");
+    assert_eq!(telemetry::get("commands_undecoded"), before.1 + 6, "once for each replica");
+    assert_eq!(l.raw(Bytes::new()), ApplyResult::Done, "entries of Raft itself are empty");
 }
 
 impl Log {
@@ -301,31 +301,31 @@
 }
 
 #[test]
-fn of_the_orders_for_one_zone_the_last_holds_and_a_repeat_is_acknowledged_again() {
+fn the_last_evacuation_order_of_a_zone_holds_and_repeats_are_acknowledged() {
     let mut log = Log::default();
-    assert_eq!(log.evacuate("a", true), ApplyResult::Repeated, "it is not evacuated: so it is wanted");
+    assert_eq!(log.evacuate("a", true), ApplyResult::Repeated, "the zone is not evacuated, as the order asks");
     assert_eq!(log.evacuate("a", false), ApplyResult::Done);
     let version = log.control_state.assignments.version;
     assert_eq!(log.evacuate("a", false), ApplyResult::Repeated);
-    assert_eq!(log.control_state.assignments.version, version, "a repeat is no news");
+    assert_eq!(log.control_state.assignments.version, version, "a repeat changes nothing");
     assert_eq!((log.zone_use("a", 9), log.zone_use("b", 9)), (ZoneUse::Evacuated, ZoneUse::Open));
     assert_eq!(log.evacuate("a", true), ApplyResult::Done);
     assert_eq!(log.evacuate("a", true), ApplyResult::Repeated);
     assert_eq!(log.zone_use("a", 9), ZoneUse::Returning);
-    assert_eq!(log.evacuate("a", false), ApplyResult::Done, "and once more");
+    assert_eq!(log.evacuate("a", false), ApplyResult::Done, "evacuated again");
     assert_eq!(log.zone_use("a", 9), ZoneUse::Evacuated);
     assert_eq!(log.control_state.assignments.evacuations.len(), 1);
 }
 
 #[test]
-fn a_zone_that_was_taken_back_is_open_to_those_who_know_which_processors_are_cold() {
+fn a_returning_zone_is_open_to_nodes_that_know_its_cold_processors() {
     let mut log = Log::default();
     log.evacuate("a", false);
     log.evacuate("a", true);
     let ordered = log.control_state.assignments.evacuations[0].ordered;
     assert_eq!(log.cold_known("a", ordered, 40), ApplyResult::Done);
     assert_eq!((log.zone_use("a", 39), log.zone_use("a", 40)), (ZoneUse::Returning, ZoneUse::Open));
-    // A listing from before another evacuation says nothing of the return after that.
+    // A listing from before another evacuation does not apply to the return after it.
     log.evacuate("a", false);
     assert_eq!(log.cold_known("a", ordered, 50), ApplyResult::Conflict);
     log.evacuate("a", true);
