--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -312,7 +312,7 @@
                 .collect();
             let unidentified = match f.is_leader {
                 true => f.unidentified.reported(&f.sessions),
-                false => f.unidentified.from_leader().to_vec(),
+                false => f.unidentified.leader_list().to_vec(),
             };
             serde_json::json!({"node": self.settings.node, "leader": f.leader, "isLeader": f.is_leader,
                 "duties": if f.is_leader { vec!["lister", "judge", "assigner"] } else { vec![] },
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -388,7 +388,7 @@
                         let own = self.node();
                         f.sessions.insert(own.name.clone(), Session { node: own, seen: u64::MAX / 2 });
                     }
-                    f.unidentified.set_from_leader(n.unidentified.clone());
+                    f.unidentified.set_leader_list(n.unidentified.clone());
                     if let Some(r) = n.told_membership()
                         && f.membership.take(&r)
                     {
--- a/crates/control/src/unidentified.rs
+++ b/crates/control/src/unidentified.rs
@@ -13,7 +13,7 @@
     /// Keyed by the front, or by the control node that forwards the reports of its fronts.
     reported_by: BTreeMap<String, Vec<String>>,
     /// For the whole system, as last received from the leader.
-    from_leader: Vec<String>,
+    leader_list: Vec<String>,
 }
 
 impl UnidentifiedProcessors {
@@ -27,13 +27,13 @@
     }
 
     /// Replaces the list of the whole system with that of the leader.
-    pub(crate) fn set_from_leader(&mut self, addresses: Vec<String>) {
-        self.from_leader = addresses;
+    pub(crate) fn set_leader_list(&mut self, addresses: Vec<String>) {
+        self.leader_list = addresses;
     }
 
     /// The list last received from the leader.
-    pub(crate) fn from_leader(&self) -> &[String] {
-        &self.from_leader
+    pub(crate) fn leader_list(&self) -> &[String] {
+        &self.leader_list
     }
 
     /// The addresses reported by nodes that have a session, sorted.
