--- a/crates/control/tests/clock_steps.rs
+++ b/crates/control/tests/clock_steps.rs
@@ -65,12 +65,12 @@
 }
 
 impl Machine {
-    fn steady(&self, at: u64) -> u64 {
+    fn monotonic(&self, at: u64) -> u64 {
         (1_000_000 + at as i64 + at as i64 * self.drift_ppm / 1_000_000) as u64
     }
 
     fn wall(&self, at: u64) -> u64 {
-        (START_MS + self.steady(at) as i64 + self.step_ms) as u64
+        (START_MS + self.monotonic(at) as i64 + self.step_ms) as u64
     }
 }
 
@@ -190,25 +190,25 @@
             self.write_record(time);
         }
         for n in (0..MACHINES).filter(|n| *n != self.owner) {
-            let now = self.store(n).steady(at);
+            let now = self.store(n).monotonic(at);
             self.partition[n].observe_owner_time(time, now);
         }
     }
 
     fn renew_leases(&mut self) {
         let (at, leader) = (self.at, self.leader);
-        let now = self.machines[leader].steady(at);
+        let now = self.machines[leader].monotonic(at);
         for (n, m) in self.machines.iter().enumerate() {
             self.control[leader].record_reading(&format!("machine-{n}"), m.wall(at), now);
         }
         for n in 0..MACHINES {
-            if let Some(t) = self.control[n].time(self.machines[n].steady(at)) {
+            if let Some(t) = self.control[n].time(self.machines[n].monotonic(at)) {
                 self.control[leader].adopt_carried(t, now);
             }
-            if let Some(t) = self.carried[n].time(self.store(n).steady(at)) {
+            if let Some(t) = self.carried[n].time(self.store(n).monotonic(at)) {
                 self.control[leader].adopt_carried(t, now);
             }
-            let reached = self.partition[n].latest_time(self.store(n).steady(at));
+            let reached = self.partition[n].latest_time(self.store(n).monotonic(at));
             self.control[leader].record_logged(reached);
         }
         if at >= self.leader_since + LEADER_LISTEN_MS {
@@ -217,7 +217,7 @@
         self.control[leader].correct(MACHINES + 1, now);
         let Some(time) = self.control[leader].time(now) else { return };
         for n in 0..MACHINES {
-            let (control, store) = (self.machines[n].steady(at), self.store(n).steady(at));
+            let (control, store) = (self.machines[n].monotonic(at), self.store(n).monotonic(at));
             if n != leader {
                 self.control[n].follow(time, control, control);
             }
@@ -227,14 +227,14 @@
 
     /// The partition time at its owner; None while its lease waits for the cluster time.
     fn owner_time(&mut self) -> Option<u64> {
-        let now = self.store(self.owner).steady(self.at);
+        let now = self.store(self.owner).monotonic(self.at);
         let cluster = self.carried[self.owner].time(now)?;
         let time = self.partition[self.owner].owner_time(Some(cluster), now);
         assert!(time >= self.last_record_ms, "the time is earlier than the last record");
         let (read, read_at) = *self.first_reading.get_or_insert((time, now));
-        let (passed, steady) = (time - read, now - read_at);
-        let bound = steady * PARTITION_SLEW_PPM / 1_000_000 + 1;
-        assert!(passed.abs_diff(steady) <= bound, "partition time advanced by {passed} ms in {steady} ms");
+        let (passed, monotonic) = (time - read, now - read_at);
+        let bound = monotonic * PARTITION_SLEW_PPM / 1_000_000 + 1;
+        assert!(passed.abs_diff(monotonic) <= bound, "partition time advanced by {passed} ms in {monotonic} ms");
         Some(time)
     }
 
@@ -251,13 +251,13 @@
     fn write_record(&mut self, record_ms: u64) {
         self.last_record_ms = record_ms;
         for n in 0..MACHINES {
-            let now = self.store(n).steady(self.at);
+            let now = self.store(n).monotonic(self.at);
             self.partition[n].observe_record(record_ms, now);
         }
     }
 
     fn leader_time(&self) -> u64 {
-        self.control[self.leader].time(self.machines[self.leader].steady(self.at)).unwrap_or(0)
+        self.control[self.leader].time(self.machines[self.leader].monotonic(self.at)).unwrap_or(0)
     }
 }
 
