--- a/crates/control/tests/sessions.rs
+++ b/crates/control/tests/sessions.rs
@@ -47,8 +47,8 @@
 
     /// Renews the lease and reports the state of the disk.
     async fn report_disk(&self, assignments: &Assignments, lag: u32) -> LeaseAck {
-        let mine = assignments.partitions.iter().filter(|p| p.owner == self.node.name);
-        let claims = mine.map(|p| Holding { partition: p.id, term: p.term }).collect();
+        let owned = assignments.partitions.iter().filter(|p| p.owner == self.node.name);
+        let claims = owned.map(|p| Holding { partition: p.id, term: p.term }).collect();
         let l = Lease { node: self.node.clone(), claims, lag, clock_ms: telemetry::wall_ms(), ..Lease::default() };
         match self.client.call(Body::Lease(l), WAIT).await {
             Ok(Body::LeaseAck(a)) => a,
@@ -124,10 +124,10 @@
     for name in names {
         stores.push(FakeStore::new(name, &control).await);
     }
-    let begun = Instant::now();
+    let started = Instant::now();
     let mut now = Assignments::default();
     while now.partitions.is_empty() {
-        assert!(begun.elapsed() < Duration::from_secs(60), "no partition layout in time");
+        assert!(started.elapsed() < Duration::from_secs(60), "no partition layout in time");
         for store in &stores {
             store.renew_lease(&now).await;
         }
@@ -148,10 +148,10 @@
         let has_copy = |p: &Partition| p.in_sync.iter().any(|node| node == "c");
         assert!(all_whole(&first) && first.partitions.iter().any(has_copy));
         let mut now = first;
-        let begun = Instant::now();
+        let started = Instant::now();
         let follows = |p: &&Partition| p.owner != "c" && p.replicas.iter().any(|node| node == "c");
         while now.partitions.iter().any(|p| follows(&p)) {
-            assert!(begun.elapsed() < w.lease, "no other machine replaces the replica");
+            assert!(started.elapsed() < w.lease, "no other machine replaces the replica");
             assert!(a.renew_lease(&now).await && b.renew_lease(&now).await);
             assert_eq!(c.report_disk(&now, lag).await.granted, lag < 2);
             assert!(all_whole(&now), "{:?}", now.partitions);
@@ -183,14 +183,14 @@
     let ack = a.join(&p, &b).await;
     assert!(ack.refused, "no join while the disk is slow");
     // The refusal was logged and changed the partition: the next request has to refer to that.
-    let p = ack.partition.expect("as it stands");
+    let p = ack.partition.expect("the current version");
     b.renew_lease(&now).await;
     assert!(a.join(&p, &b).await.ok);
     // b's disk does not respond: b has stopped acting as owner, so its lease is not awaited.
-    let begun = Instant::now();
+    let started = Instant::now();
     assert!(!b.report_disk(&now, 2).await.granted);
     while !owned(&now, "b").is_empty() {
-        assert!(begun.elapsed() < w.lease, "replaced only after the lease expired");
+        assert!(started.elapsed() < w.lease, "replaced only after the lease expired");
         a.renew_lease(&now).await;
         tokio::time::sleep(Duration::from_millis(20)).await;
         now = assignments(&w.watcher).await;
