--- a/crates/control/src/cluster_clock.rs
+++ b/crates/control/src/cluster_clock.rs
@@ -58,12 +58,12 @@
     }
 
     /// Adopts the leader's time on a follower, unless the time here already agrees with it
-    /// within the round trip from `asked` to `now`.
-    pub fn follow(&mut self, time_ms: u64, asked: u64, now: u64) {
-        if !is_plausible_time(time_ms) || now < asked {
+    /// within the round trip from `requested_at` to `now`.
+    pub fn follow(&mut self, time_ms: u64, requested_at: u64, now: u64) {
+        if !is_plausible_time(time_ms) || now < requested_at {
             return;
         }
-        let agrees = self.time(now).is_some_and(|t| time_ms <= t && t <= time_ms + (now - asked));
+        let agrees = self.time(now).is_some_and(|t| time_ms <= t && t <= time_ms + (now - requested_at));
         if !agrees {
             self.start(time_ms, now);
         }
@@ -84,7 +84,7 @@
         }
     }
 
-    /// Starts the time if no process that was heard carries it: at the latest time in the
+    /// Starts the time if no process has supplied a carried one: at the latest time in the
     /// logs, where `control_log_ms` is that of the control log. If no log holds a time, as at
     /// the first start, it is the median of the clocks, once `quorum` of them are known.
     pub fn start_from_logs(&mut self, control_log_ms: u64, quorum: usize, now: u64) {
