--- a/crates/control/src/leadership.rs
+++ b/crates/control/src/leadership.rs
@@ -135,7 +135,7 @@
     let mut ticker = tokio::time::interval(Duration::from_millis(control.ratio(100.0)));
     ticker.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     let wanted_voters = control.wanted_voters();
-    // Large configurations can exhaust memory long before the log has many entries.
+    // Large configurations make the log large long before it has many entries.
     let max_log_bytes = (control.settings.limits.memory_mb as usize) << 20 >> 6;
     let replace_after_ms = (control.settings.constraints.settle_s * 500.0) as u64;
     let mut driver = RaftDriver {
