--- a/crates/control/src/operator.rs
+++ b/crates/control/src/operator.rs
@@ -77,8 +77,8 @@
         return reply;
     }
     // Any other reply was read from the state, which was current if this process still leads
-    // in the same term afterwards. Parsing a large configuration delays the heartbeat replies of
-    // the other nodes, so the check is repeated over a few heartbeats.
+    // in the same term afterwards. Parsing a large configuration keeps this process from reading
+    // the heartbeat replies of the other nodes, so the check is repeated over two heartbeats.
     for _ in 0..4 {
         if control.authority() == Some(term) {
             return reply;
