--- a/crates/control/src/state.rs
+++ b/crates/control/src/state.rs
@@ -544,7 +544,7 @@
         }
         return (now != *p).then_some(now);
     }
-    // While a grant is pending, the candidate may already have resumed after the handover marker:
+    // While a grant is pending, the candidate may already have resumed after the stop marker:
     // only the nodes that both terms write to hold everything.
     let eligible: Vec<&String> = p
         .in_sync
