--- a/crates/control/tests/duties.rs
+++ b/crates/control/tests/duties.rs
@@ -115,11 +115,19 @@
     assert_eq!(evaluate_order(&p, &order(OrderKind::Grant, 4, "c")), OrderVerdict::Refused, "not in sync");
     let OrderVerdict::Put(g) = evaluate_order(&p, &order(OrderKind::Grant, 4, "b")) else { panic!("granted") };
     assert_eq!(evaluate_order(&g, &order(OrderKind::Grant, 4, "b")), OrderVerdict::AlreadyInForce);
-    assert_eq!(evaluate_order(&g, &order(OrderKind::Join, 4, "c")), OrderVerdict::Refused, "not while a grant is pending");
+    assert_eq!(
+        evaluate_order(&g, &order(OrderKind::Join, 4, "c")),
+        OrderVerdict::Refused,
+        "not while a grant is pending"
+    );
     let OrderVerdict::Put(o) = evaluate_order(&g, &order(OrderKind::Own, 5, "b")) else { panic!("owned") };
     assert_eq!((o.owner.as_str(), o.term, o.grant.is_none()), ("b", 5, true));
     assert_eq!(evaluate_order(&p, &order(OrderKind::Own, 5, "b")), OrderVerdict::Refused, "nothing was granted");
-    assert_eq!(evaluate_order(&p, &order(OrderKind::Drop, 0, "a")), OrderVerdict::Refused, "an owner cannot be dropped");
+    assert_eq!(
+        evaluate_order(&p, &order(OrderKind::Drop, 0, "a")),
+        OrderVerdict::Refused,
+        "an owner cannot be dropped"
+    );
     let OrderVerdict::Put(d) = evaluate_order(&p, &order(OrderKind::Drop, 0, "b")) else { panic!("dropped") };
     assert_eq!(d.in_sync, names(&["a"]));
 }
