--- a/crates/control/tests/raft.rs
+++ b/crates/control/tests/raft.rs
@@ -213,7 +213,10 @@
         let got: Vec<ApplyResult> = w.applied[n].iter().map(|a| a.1).collect();
         assert_eq!(got[got.len() - 2..], [ApplyResult::Done, ApplyResult::Conflict]);
         assert_eq!(w.control_states[n].revision, 3);
-        assert!(w.control_states[n].knows_configuration(&request_digest(0, 3)) && !w.control_states[n].knows_configuration(&request_digest(0, 4)));
+        assert!(
+            w.control_states[n].knows_configuration(&request_digest(0, 3))
+                && !w.control_states[n].knows_configuration(&request_digest(0, 4))
+        );
     }
 }
 
