--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -1,7 +1,8 @@
-//! Taking a message in: finds the partition that is to keep it, and has its owner write it.
+//! Accepts messages: resolves the partition that stores a message and asks its owner to commit it.
 //!
-//! Invariant (docs/design/tenants.md): a message with an operation or order key is written only
-//! where the placements of these have led, or by their directory's partition itself.
+//! Invariant (docs/design/tenants.md): a message with an operation key or an order key is written
+//! only to the partition that the placements of these keys resolve to, or to the directory
+//! partition itself.
 
 use crate::ingest::{FrontService, fault};
 use crate::owner_calls::{OwnerAnswer, OwnerCalls};
@@ -12,23 +13,23 @@
 use rpc::messages::{Accept, AcceptOutcome, Accepted, Place, PlacementGenerations, PlacementSubject};
 use std::time::Duration;
 
-/// The most placements that are followed for one message.
-const PLACEMENT_STEPS: usize = 12;
-/// Why a message is refused before there are partitions for it.
+/// Maximum number of placements followed for one message.
+const MAX_PLACEMENT_STEPS: usize = 12;
+/// Fault text while no partition exists that may store the message.
 const NO_PARTITION: &str = "no owner of a partition for it yet";
 
-/// The part of `quietMs` before a request is tried again for the first time.
-const FIRST_PAUSE_PART: f64 = 400.0;
-/// The part of `quietMs` that no pause between two tries exceeds.
-const LONGEST_PAUSE_PART: f64 = 64.0;
+/// The first retry of a request waits `quietMs` divided by this.
+const INITIAL_BACKOFF_DIVISOR: f64 = 400.0;
+/// The delay between two attempts is at most `quietMs` divided by this.
+const MAX_BACKOFF_DIVISOR: f64 = 64.0;
 
-/// Where the placements of a subject have led.
+/// Result of following the placements of a subject.
 enum Placement {
-    /// To this partition, by a placement of that generation.
-    At { partition: u32, generation: u64 },
-    /// The operation is kept already.
-    Kept { partition: u32, position: u64 },
-    /// The message can't be taken now; nothing was written.
+    /// The subject belongs to this partition, by a placement of this generation.
+    Resolved { partition: u32, generation: u64 },
+    /// A message of the operation is already stored.
+    Stored { partition: u32, position: u64 },
+    /// The message cannot be accepted now; nothing was written.
     Refused(Reply),
 }
 
@@ -39,26 +40,26 @@
     generations: PlacementGenerations,
 }
 
-/// What came of an attempt to write a message.
-enum Written {
-    /// The answer to its client.
-    Answered(Reply),
-    /// Nothing was written: its order key or its operation is placed elsewhere.
+/// Result of an attempt to write a message.
+enum WriteOutcome {
+    /// The reply to the client.
+    Replied(Reply),
+    /// Nothing was written: the order key or the operation is placed in another partition.
     Moved,
 }
 
-/// A subject whose placements are followed.
-struct Walk<'a> {
+/// Traversal of the placements of a subject, from one partition to the next.
+struct PlacementWalk<'a> {
     submission: &'a Submission,
     subject: PlacementSubject,
     partition: u32,
     generation: u64,
-    /// Where the message belongs; `None`: a question that places nothing.
+    /// The partition that the message belongs to; `None` for a query that places nothing.
     wanted: Option<u32>,
 }
 
-/// The answer to whoever sent a message that is kept.
-fn taken(partition: u32, position: u64) -> Reply {
+/// The reply to the client for a message that is stored.
+fn accepted_reply(partition: u32, position: u64) -> Reply {
     Reply::new(202).with("X-Message-Name", format!("{partition}-{position}"))
 }
 
@@ -66,27 +67,29 @@
     fault(503, why).with("Retry-After", "1")
 }
 
-/// The pauses between the tries of one request: each is twice the former one, up to a limit, so
-/// that a partition which can't take anything for a while is not flooded when it can.
-struct RetryPause {
+/// Exponential backoff between the attempts of one request: each delay is twice the previous one,
+/// up to a limit, so that a partition that was unavailable for a while is not flooded with retries
+/// once it is available again.
+struct Backoff {
     next: Duration,
-    longest: Duration,
+    max: Duration,
 }
 
-impl RetryPause {
-    /// Waits for the next pause, or for what is left of the request's time.
-    async fn wait(&mut self, left: Duration) {
-        tokio::time::sleep(self.next.min(left)).await;
-        self.next = (self.next * 2).min(self.longest);
+impl Backoff {
+    /// Waits for the next delay, or for the remaining time of the request if that is shorter.
+    async fn wait(&mut self, remaining: Duration) {
+        tokio::time::sleep(self.next.min(remaining)).await;
+        self.next = (self.next * 2).min(self.max);
     }
 }
 
 impl FrontService {
-    fn retry_pause(&self) -> RetryPause {
-        RetryPause { next: self.ratio(FIRST_PAUSE_PART), longest: self.ratio(LONGEST_PAUSE_PART) }
+    fn backoff(&self) -> Backoff {
+        Backoff { next: self.ratio(INITIAL_BACKOFF_DIVISOR), max: self.ratio(MAX_BACKOFF_DIVISOR) }
     }
 
-    /// Takes in one message; the answer says no more than is known.
+    /// Accepts a message. The reply claims no more than is known: 504 if the message may have been
+    /// written.
     pub async fn take(&self, request: Request) -> Reply {
         let submission = match self.submission_of(&request) {
             Ok(submission) => submission,
@@ -97,21 +100,22 @@
         };
         let mut calls = OwnerCalls::new(self);
         let mut has_moved = false;
-        for _ in 0..PLACEMENT_STEPS {
+        for _ in 0..MAX_PLACEMENT_STEPS {
             let target = match self.place(&submission, wanted, has_moved, &mut calls).await {
                 Ok(target) => target,
                 Err(reply) => return reply,
             };
             match self.write(&submission, target, &mut calls).await {
-                Written::Answered(reply) => return reply,
-                Written::Moved => has_moved = true,
+                WriteOutcome::Replied(reply) => return reply,
+                WriteOutcome::Moved => has_moved = true,
             }
         }
-        given_up(false)
+        timeout_reply(false)
     }
 
-    /// Where a message is to be written that belongs to the `wanted` partition: where messages of
-    /// its order key are under way comes first, and its operation is then placed there.
+    /// Resolves where to write a message that belongs to the `wanted` partition. The order key is
+    /// resolved first, since its pending messages decide the partition; the operation is then
+    /// placed in that partition.
     async fn place(
         &self,
         submission: &Submission,
@@ -123,41 +127,48 @@
         let assignments = &submission.view.assignments;
         if let Some(order) = submission.item.order() {
             let directory = order_directory(assignments, &order);
-            let walk = Walk::new(submission, PlacementSubject::Order(order), directory, target.partition)?;
+            let walk = PlacementWalk::new(submission, PlacementSubject::Order(order), directory, target.partition)?;
             (target.partition, target.generations.order) = self.locate(walk, has_moved, calls).await?;
         }
         if let Some(operation) = submission.item.operation {
             let directory = operation_directory(assignments, &operation);
-            let walk = Walk::new(submission, PlacementSubject::Operation(operation), directory, target.partition)?;
+            let walk =
+                PlacementWalk::new(submission, PlacementSubject::Operation(operation), directory, target.partition)?;
             (target.partition, target.generations.operation) = self.locate(walk, has_moved, calls).await?;
         }
         Ok(target)
     }
 
-    /// The partition that a subject's placements lead to, with the generation of the last; else the
-    /// answer. Where the subject belongs to its directory nothing is asked unless it has moved.
-    async fn locate(&self, walk: Walk<'_>, has_moved: bool, calls: &mut OwnerCalls<'_>) -> Result<(u32, u64), Reply> {
+    /// Returns the partition that a subject's placements lead to and the generation of the last
+    /// placement; otherwise the reply. If the subject belongs to its directory, no owner is asked
+    /// unless the subject has moved.
+    async fn locate(
+        &self,
+        walk: PlacementWalk<'_>,
+        has_moved: bool,
+        calls: &mut OwnerCalls<'_>,
+    ) -> Result<(u32, u64), Reply> {
         if walk.wanted == Some(walk.partition) && !has_moved {
             return Ok((walk.partition, walk.generation));
         }
         match self.follow_placements(walk, calls).await {
-            Placement::At { partition, generation } => Ok((partition, generation)),
-            Placement::Kept { partition, position } => Err(taken(partition, position)),
+            Placement::Resolved { partition, generation } => Ok((partition, generation)),
+            Placement::Stored { partition, position } => Err(accepted_reply(partition, position)),
             Placement::Refused(refusal) => Err(refusal),
         }
     }
 
-    /// Follows a subject from one partition that may know of it to the next, until one keeps it or
-    /// the wanted one is reached.
-    async fn follow_placements(&self, mut walk: Walk<'_>, calls: &mut OwnerCalls<'_>) -> Placement {
+    /// Follows the placements of a subject from partition to partition, until one of them stores the
+    /// subject or the wanted partition is reached.
+    async fn follow_placements(&self, mut walk: PlacementWalk<'_>, calls: &mut OwnerCalls<'_>) -> Placement {
         let mut steps = 0;
-        let mut pause = self.retry_pause();
+        let mut backoff = self.backoff();
         loop {
             if steps > 0 && walk.wanted == Some(walk.partition) {
-                return Placement::At { partition: walk.partition, generation: walk.generation };
+                return Placement::Resolved { partition: walk.partition, generation: walk.generation };
             }
-            let left = walk.submission.left(false);
-            if left.is_zero() || calls.is_ending() || steps >= PLACEMENT_STEPS {
+            let remaining = walk.submission.left(false);
+            if remaining.is_zero() || calls.is_ending() || steps >= MAX_PLACEMENT_STEPS {
                 break;
             }
             let request = Place {
@@ -168,7 +179,7 @@
                 generation: walk.generation,
                 hold_ms: walk.submission.hold_ms,
             };
-            match calls.ask(walk.partition, Body::Place(request), left, false).await {
+            match calls.ask(walk.partition, Body::Place(request), remaining, false).await {
                 OwnerAnswer::NoStoreAnswers => {
                     telemetry::count("refused_no_store");
                     break;
@@ -185,28 +196,28 @@
                         return placement;
                     }
                 }
-                // What may have been placed is placed the same once more.
+                // If the placement was already written, repeating the request yields the same result.
                 _ => {}
             }
             telemetry::count("placements_again");
-            pause.wait(left).await;
+            backoff.wait(remaining).await;
         }
         telemetry::count("answers_503");
         Placement::Refused(unavailable("no owner can take it now"))
     }
 
-    /// Has the owner of a partition write a message.
-    async fn write(&self, submission: &Submission, target: Target, calls: &mut OwnerCalls<'_>) -> Written {
+    /// Asks the owner of the target partition to write a message, and retries within the time budget.
+    async fn write(&self, submission: &Submission, target: Target, calls: &mut OwnerCalls<'_>) -> WriteOutcome {
         let Target { mut partition, generations } = target;
         let mut is_unclear = false;
-        let mut pause = self.retry_pause();
+        let mut backoff = self.backoff();
         loop {
-            let left = submission.left(is_unclear);
-            if left.is_zero() || calls.is_ending() {
+            let remaining = submission.left(is_unclear);
+            if remaining.is_zero() || calls.is_ending() {
                 break;
             }
             if !is_unclear && !submission.is_place_fixed && !calls.has_hint() {
-                // Nothing was written: another owner near by may do as well.
+                // Nothing was written yet, so a partition of another nearby owner may be used as well.
                 let view = calls.view();
                 partition = submission.partition(&view, &self.settings.zone).unwrap_or(partition);
             }
@@ -217,26 +228,26 @@
                 delay_ms: submission.delay_left_ms(),
                 generations,
             };
-            let answer = calls.ask(partition, Body::Accept(accept), left, is_unclear).await;
+            let answer = calls.ask(partition, Body::Accept(accept), remaining, is_unclear).await;
             if let Some(cause) = answer.retry_counter() {
                 telemetry::count(cause);
             }
             match answer {
                 OwnerAnswer::Answered(AcceptOutcome::Taken, accepted) => {
-                    return Written::Answered(taken(partition, accepted.position));
+                    return WriteOutcome::Replied(accepted_reply(partition, accepted.position));
                 }
                 OwnerAnswer::Answered(AcceptOutcome::PlacedElsewhere | AcceptOutcome::OrderPlacedElsewhere, _)
                     if !is_unclear =>
                 {
                     calls.forget_hint();
-                    return Written::Moved;
+                    return WriteOutcome::Moved;
                 }
                 OwnerAnswer::Answered(AcceptOutcome::PlacedElsewhere, accepted) => {
-                    return Written::Answered(self.find_placed(submission, &accepted, calls).await);
+                    return WriteOutcome::Replied(self.reply_for_moved_operation(submission, &accepted, calls).await);
                 }
                 OwnerAnswer::Answered(outcome, accepted) => {
-                    if let Some(refusal) = refusal_of(outcome, &accepted).filter(|_| !is_unclear) {
-                        return Written::Answered(refusal);
+                    if let Some(refusal) = refusal_reply(outcome, &accepted).filter(|_| !is_unclear) {
+                        return WriteOutcome::Replied(refusal);
                     }
                 }
                 OwnerAnswer::Unclear => is_unclear = true,
@@ -248,52 +259,57 @@
             }
             telemetry::count("accepts_again");
             if calls.has_hint() {
-                // Another node is asked next, which may well take it.
-                pause = self.retry_pause();
+                // The next call goes to another node, which is likely to accept the message.
+                backoff = self.backoff();
             }
-            pause.wait(left).await;
+            backoff.wait(remaining).await;
         }
-        Written::Answered(given_up(is_unclear))
+        WriteOutcome::Replied(timeout_reply(is_unclear))
     }
 
-    /// Answers for a message that may have been written, and whose operation is placed elsewhere:
-    /// with the name of what is kept there, if it is.
-    async fn find_placed(&self, submission: &Submission, accepted: &Accepted, calls: &mut OwnerCalls<'_>) -> Reply {
-        let Some(operation) = submission.item.operation else { return given_up(true) };
+    /// Returns the reply for a message that may have been written and whose operation is placed in
+    /// another partition: the name of the message stored there, if there is one.
+    async fn reply_for_moved_operation(
+        &self,
+        submission: &Submission,
+        accepted: &Accepted,
+        calls: &mut OwnerCalls<'_>,
+    ) -> Reply {
+        let Some(operation) = submission.item.operation else { return timeout_reply(true) };
         calls.forget_hint();
         let subject = PlacementSubject::Operation(operation);
         let Accepted { partition, generation, .. } = *accepted;
-        let walk = Walk { submission, subject, partition, generation, wanted: None };
+        let walk = PlacementWalk { submission, subject, partition, generation, wanted: None };
         match self.follow_placements(walk, calls).await {
-            Placement::Kept { partition, position } => taken(partition, position),
-            _ => given_up(true),
+            Placement::Stored { partition, position } => accepted_reply(partition, position),
+            _ => timeout_reply(true),
         }
     }
 }
 
-impl<'a> Walk<'a> {
-    /// One that begins at a subject's directory.
+impl<'a> PlacementWalk<'a> {
+    /// Creates a walk that starts at the subject's directory partition.
     ///
     /// # Errors
-    /// The answer where there is no directory yet.
+    /// Returns the reply to send if the directory partition does not exist yet.
     fn new(
         submission: &'a Submission,
         subject: PlacementSubject,
         directory: Option<u32>,
         wanted: u32,
-    ) -> Result<Walk<'a>, Reply> {
+    ) -> Result<PlacementWalk<'a>, Reply> {
         let partition = directory.ok_or_else(|| unavailable(NO_PARTITION))?;
-        Ok(Walk { submission, subject, partition, generation: 0, wanted: Some(wanted) })
+        Ok(PlacementWalk { submission, subject, partition, generation: 0, wanted: Some(wanted) })
     }
 
-    /// Where the walk ends by an owner's word; `None` where it is to be asked again.
+    /// Maps an owner's outcome to the result of the walk; `None` if the owner is to be asked again.
     fn end(&self, outcome: AcceptOutcome, accepted: &Accepted) -> Option<Placement> {
-        let Walk { submission, partition, generation, .. } = *self;
+        let PlacementWalk { submission, partition, generation, .. } = *self;
         match outcome {
-            AcceptOutcome::Taken => Some(Placement::Kept { partition, position: accepted.position }),
+            AcceptOutcome::Taken => Some(Placement::Stored { partition, position: accepted.position }),
             AcceptOutcome::StaysHere => {
                 if may_be_kept_in(&submission.view.assignments, &submission.homes, partition) {
-                    return Some(Placement::At { partition, generation });
+                    return Some(Placement::Resolved { partition, generation });
                 }
                 telemetry::count("refused_order_elsewhere");
                 Some(Placement::Refused(unavailable("messages of its order key are under way in another region")))
@@ -308,8 +324,8 @@
     }
 }
 
-/// The answer to a message that its owner refuses for good; `None` where it may be asked again.
-fn refusal_of(outcome: AcceptOutcome, accepted: &Accepted) -> Option<Reply> {
+/// The reply for an outcome that is not retried; `None` if the owner is to be asked again.
+fn refusal_reply(outcome: AcceptOutcome, accepted: &Accepted) -> Option<Reply> {
     match outcome {
         AcceptOutcome::Full => {
             telemetry::count("refused_full");
@@ -326,8 +342,8 @@
     }
 }
 
-/// The answer when the time for a message is over.
-fn given_up(is_unclear: bool) -> Reply {
+/// The reply when the time budget of a message is exhausted.
+fn timeout_reply(is_unclear: bool) -> Reply {
     if is_unclear {
         telemetry::count("answers_504");
         return fault(504, "it may have been taken");
