--- a/crates/front/src/callback.rs
+++ b/crates/front/src/callback.rs
@@ -1,9 +1,10 @@
-//! Where call-backs go: the URL that a client gives, read and checked before its message is
+//! Callback URLs: the URL that a client supplies is parsed and validated before its message is
 //! accepted.
 //!
-//! A call-back is a request that this system sends by a client's word, from inside. So its URL
-//! is taken apart by a parser, never by looking for slashes, and it may not name an address at
-//! which this system listens: an order of the operator needs no body and could be given that way.
+//! A callback is a request that this system sends from inside its network to a URL chosen by a
+//! client. To prevent server-side request forgery, the URL is taken apart by a URL parser, never by
+//! searching for slashes, and it may not name an address on which this system listens: operator
+//! commands need no body, so a callback could issue one.
 
 use config::Settings;
 use http::Uri;
@@ -11,38 +12,38 @@
 use std::net::{IpAddr, SocketAddr};
 use std::str::FromStr;
 
-/// The port of a URL that names none.
+/// Default port of a URL without one.
 const HTTP_PORT: u16 = 80;
 
-/// A URL that a call-back may be sent to.
+/// A URL that a callback may be sent to.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallbackUrl {
-    /// Host and port as the URL has them: the value of `Host`.
+    /// Host and port as written in the URL; the value of the `Host` header.
     pub authority: String,
-    /// The host alone.
+    /// Host without the port.
     pub host: String,
-    /// The port, or that of HTTP.
+    /// Port, by default that of HTTP.
     pub port: u16,
-    /// Path and query, as on the request line.
+    /// Path and query, as sent on the request line.
     pub target: String,
 }
 
-/// Why no call-back is sent to a URL.
+/// Why a callback URL is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallbackError {
-    /// The text is no URL at all.
+    /// The text is not a valid URL, or its host does not resolve.
     #[error("X-Notify-Url is not a URL")]
     Unreadable,
-    /// Only `http` with a host is known.
+    /// The URL is not an absolute `http` URL with a host.
     #[error("X-Notify-Url wants the form http://host:port/path")]
     NotAbsoluteHttp,
-    /// Credentials would be sent on.
+    /// The URL contains credentials, which would be forwarded.
     #[error("X-Notify-Url may not hold a user or password")]
     Credentials,
-    /// 0, or no number.
+    /// The port is 0 or not a valid number.
     #[error("X-Notify-Url: the port is not one")]
     Port,
-    /// Something of this system listens there.
+    /// A process of this system listens on the address.
     #[error("X-Notify-Url names an address of this system")]
     OwnMachine,
 }
@@ -74,59 +75,64 @@
     }
 }
 
-/// Whether a host is an address or has the form of a name.
+/// Whether a host has the form of a name, an IPv4 address or a bracketed IPv6 address.
 fn is_host(host: &str) -> bool {
     let is_name = host.bytes().all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'-'));
     is_name || host.starts_with('[')
 }
 
 impl CallbackUrl {
-    /// The host as an address; `None` for a name.
+    /// The host as an IP address; `None` for a host name.
     fn ip(&self) -> Option<IpAddr> {
         self.host.trim_start_matches('[').trim_end_matches(']').parse().ok()
     }
 
-    /// Refuses a URL that names an address of this system.
+    /// Rejects a URL whose host is an IP address of this system.
     pub fn check_foreign(self, settings: &Settings, membership: &Membership) -> Result<CallbackUrl, CallbackError> {
         match self.ip() {
-            Some(ip) if is_own(SocketAddr::new(ip, self.port), settings, membership) => Err(CallbackError::OwnMachine),
+            Some(ip) if is_own_address(SocketAddr::new(ip, self.port), settings, membership) => {
+                Err(CallbackError::OwnMachine)
+            }
             _ => Ok(self),
         }
     }
 
-    /// The address to connect to: that of a name is looked up, and checked as well.
+    /// Returns the address to connect to. Host names are resolved, and the resolved address is checked
+    /// as well.
     pub async fn resolve(&self, settings: &Settings, membership: &Membership) -> Result<String, CallbackError> {
         let host = self.host.trim_start_matches('[').trim_end_matches(']');
-        let found = match self.ip() {
+        let address = match self.ip() {
             Some(ip) => Some(SocketAddr::new(ip, self.port)),
             None => tokio::net::lookup_host((host, self.port)).await.ok().and_then(|mut all| all.next()),
         };
-        let address = found.ok_or(CallbackError::Unreadable)?;
-        if is_own(address, settings, membership) {
+        let address = address.ok_or(CallbackError::Unreadable)?;
+        if is_own_address(address, settings, membership) {
             return Err(CallbackError::OwnMachine);
         }
         Ok(address.to_string())
     }
 }
 
-fn read(address: &str) -> Option<SocketAddr> {
+fn parse_address(address: &str) -> Option<SocketAddr> {
     address.parse().ok()
 }
 
-/// Whether something of this system listens at an address, as far as is known here: the
-/// platform, or on a machine of it (this one, a member of any role, a control node that the
-/// settings name) one of the ports that its programs use, which are the same on all machines.
-fn is_own(address: SocketAddr, settings: &Settings, membership: &Membership) -> bool {
+/// Whether a process of this system listens on an address, as far as this node knows. That is the
+/// address of the platform, or one of the ports of this system on one of its machines: this machine,
+/// a member of any role, or a control node named in the settings. The ports are the same on all
+/// machines.
+fn is_own_address(address: SocketAddr, settings: &Settings, membership: &Membership) -> bool {
     let address = SocketAddr::new(address.ip().to_canonical(), address.port());
     let listen = &settings.listen;
-    let told = [&listen.front, &listen.ready, &listen.control].into_iter().chain(&settings.seeds);
-    let told: Vec<SocketAddr> = told.filter_map(|text| read(text)).collect();
-    let is_inner = matches!(settings.port_range[..], [first, last] if (first..=last).contains(&address.port().into()));
-    if !is_inner && told.iter().all(|known| known.port() != address.port()) {
-        return read(&settings.platform.address) == Some(address);
+    let known_addresses = [&listen.front, &listen.ready, &listen.control].into_iter().chain(&settings.seeds);
+    let known_addresses: Vec<SocketAddr> = known_addresses.filter_map(|text| parse_address(text)).collect();
+    let is_inner_port =
+        matches!(settings.port_range[..], [first, last] if (first..=last).contains(&address.port().into()));
+    if !is_inner_port && known_addresses.iter().all(|known| known.port() != address.port()) {
+        return parse_address(&settings.platform.address) == Some(address);
     }
     let own_ip: Option<IpAddr> = settings.ip.parse().ok();
-    let is_this = address.ip().is_unspecified() || address.ip().is_loopback() || own_ip == Some(address.ip());
-    let members = membership.nodes.iter().filter_map(|node| read(&node.inner));
-    is_this || members.chain(told).any(|known| known.ip() == address.ip())
+    let is_local = address.ip().is_unspecified() || address.ip().is_loopback() || own_ip == Some(address.ip());
+    let members = membership.nodes.iter().filter_map(|node| parse_address(&node.inner));
+    is_local || members.chain(known_addresses).any(|known| known.ip() == address.ip())
 }
