--- a/crates/front/src/callback.rs
+++ b/crates/front/src/callback.rs
@@ -45,7 +45,7 @@
     Port,
     /// A process of this system listens on the address.
     #[error("X-Notify-Url names an address of this system")]
-    OwnMachine,
+    InternalAddress,
 }
 
 impl FromStr for CallbackUrl {
@@ -88,10 +88,10 @@
     }
 
     /// Rejects a URL whose host is an IP address of this system.
-    pub fn check_foreign(self, settings: &Settings, membership: &Membership) -> Result<CallbackUrl, CallbackError> {
+    pub fn ensure_external(self, settings: &Settings, membership: &Membership) -> Result<CallbackUrl, CallbackError> {
         match self.ip() {
             Some(ip) if is_own_address(SocketAddr::new(ip, self.port), settings, membership) => {
-                Err(CallbackError::OwnMachine)
+                Err(CallbackError::InternalAddress)
             }
             _ => Ok(self),
         }
@@ -107,7 +107,7 @@
         };
         let address = address.ok_or(CallbackError::Unreadable)?;
         if is_own_address(address, settings, membership) {
-            return Err(CallbackError::OwnMachine);
+            return Err(CallbackError::InternalAddress);
         }
         Ok(address.to_string())
     }
--- a/crates/front/src/submission.rs
+++ b/crates/front/src/submission.rs
@@ -150,7 +150,7 @@
             return Ok(String::new());
         };
         let url: CallbackUrl = text.parse()?;
-        url.check_foreign(&self.settings, &known.membership)?;
+        url.ensure_external(&self.settings, &known.membership)?;
         Ok(text.to_owned())
     }
 
--- a/crates/front/tests/callback.rs
+++ b/crates/front/tests/callback.rs
@@ -23,7 +23,7 @@
 }
 
 fn checked(text: &str) -> Result<CallbackUrl, CallbackError> {
-    text.parse::<CallbackUrl>()?.check_foreign(&settings(), &membership())
+    text.parse::<CallbackUrl>()?.ensure_external(&settings(), &membership())
 }
 
 #[test]
@@ -69,7 +69,7 @@
         "http://[::ffff:10.1.0.7]:8064/evacuate/z/start",
         "http://[::1]:7780/",
     ] {
-        assert_eq!(checked(text), Err(CallbackError::OwnMachine), "{text}");
+        assert_eq!(checked(text), Err(CallbackError::InternalAddress), "{text}");
     }
     // A receiver may stand on a machine of the system, and use its ports elsewhere.
     for text in ["http://10.1.0.7:9000/done", "http://10.20.0.4:8064/done", "http://127.0.0.1:9000/done"] {
@@ -81,7 +81,7 @@
 async fn a_machine_that_joined_later_is_not_called_back_either() {
     let url: CallbackUrl = "http://10.1.0.7:8064/evacuate/z/start".parse().expect("a URL");
     assert_eq!(url.resolve(&settings(), &Membership::default()).await, Ok("10.1.0.7:8064".to_owned()));
-    assert_eq!(url.resolve(&settings(), &membership()).await, Err(CallbackError::OwnMachine));
+    assert_eq!(url.resolve(&settings(), &membership()).await, Err(CallbackError::InternalAddress));
 }
 
 proptest! {
