--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -85,12 +85,12 @@
 
 impl FrontService {
     fn backoff(&self) -> Backoff {
-        Backoff { next: self.ratio(INITIAL_BACKOFF_DIVISOR), max: self.ratio(MAX_BACKOFF_DIVISOR) }
+        Backoff { next: self.quiet_fraction(INITIAL_BACKOFF_DIVISOR), max: self.quiet_fraction(MAX_BACKOFF_DIVISOR) }
     }
 
     /// Accepts a message. The reply claims no more than is known: 504 if the message may have been
     /// written.
-    pub async fn take(&self, request: Request) -> Reply {
+    pub async fn accept_message(&self, request: Request) -> Reply {
         let submission = match self.submission_of(&request) {
             Ok(submission) => submission,
             Err(refusal) => return *refusal,
--- a/crates/front/src/delivery.rs
+++ b/crates/front/src/delivery.rs
@@ -18,7 +18,7 @@
 }
 
 /// What an answer means for the message.
-pub fn read_answer(asked: &Result<Answer, SendError>) -> (Outcome, String) {
+pub fn classify_answer(asked: &Result<Answer, SendError>) -> (Outcome, String) {
     match asked {
         Ok(a) => {
             let not_run = a.status == 421 || a.header("x-not-run").is_some();
@@ -91,17 +91,17 @@
             Body::Run(run) => {
                 let leaving = *self.front.closing.borrow() != Closing::Open;
                 let term = {
-                    let k = self.front.known.borrow();
+                    let k = self.front.view.borrow();
                     let all = &k.assignments.partitions;
                     // Mostly they stand by their numbers.
                     let at = all.get(run.partition as usize).filter(|p| p.id == run.partition);
                     at.or_else(|| all.iter().find(|p| p.id == run.partition)).map(|p| p.term)
                 };
                 let word = self.held.lock().unwrap().run(&run, term, leaving, self.now());
-                if word == OutboxEntry::Go {
+                if word == RunDecision::Send {
                     tokio::spawn(self.clone().deliver(run));
                 }
-                responder.send(Body::RunAck(RunAck { taken: word != OutboxEntry::Refused }));
+                responder.send(Body::RunAck(RunAck { taken: word != RunDecision::Refused }));
             }
             Body::Holding(q) => {
                 let held = self.held.lock().unwrap().holding(&q);
@@ -115,7 +115,7 @@
                 }));
             }
             Body::Status(_) => {
-                let k = self.front.known.borrow().have();
+                let k = self.front.view.borrow().have();
                 let json = format!(
                     "{{\"node\":\"{}\",\"ready\":{},\"template\":{},\"assignments\":{},\"membership\":{},\"underWay\":{},\"counters\":\"{}\"}}",
                     self.front.settings.node,
@@ -157,7 +157,7 @@
         // Whatever a processor answers, the report of its run is owed.
         let sending = tokio::spawn(telemetry::contained(self.clone().send(run.clone())));
         let asked = sending.await.unwrap_or(Err(SendError::Lost));
-        let (outcome, result_tag) = read_answer(&asked);
+        let (outcome, result_tag) = classify_answer(&asked);
         let told = asked.as_ref().ok().and_then(load);
         let report = Report {
             partition: run.partition,
@@ -191,8 +191,8 @@
         let pause = Duration::from_millis((c.quiet_ms / 250.0) as u64);
         let end = Instant::now() + Duration::from_secs_f64(c.status_s);
         while Instant::now() < end {
-            if let Some(addr) = self.front.owner(report.partition) {
-                let mut rx = self.front.known.subscribe();
+            if let Some(addr) = self.front.owner_address(report.partition) {
+                let mut rx = self.front.view.subscribe();
                 rx.mark_unchanged();
                 let owner = Some(addr.clone());
                 let moved = rx.wait_for(|k| {
@@ -218,7 +218,7 @@
 
     async fn notify(&self, n: Notify) -> u32 {
         let Ok(url) = n.url.parse::<CallbackUrl>() else { return 400 };
-        let membership = self.front.known.borrow().membership.clone();
+        let membership = self.front.view.borrow().membership.clone();
         let addr = match url.resolve(&self.front.settings, &membership).await {
             Ok(addr) => addr,
             Err(why) => {
--- a/crates/front/src/ingest.rs
+++ b/crates/front/src/ingest.rs
@@ -14,7 +14,7 @@
 pub struct FrontService {
     pub settings: Settings,
     pub rpc_clients: Arc<RpcClients>,
-    pub known: watch::Sender<ClusterView>,
+    pub view: watch::Sender<ClusterView>,
     pub closing: watch::Sender<Closing>,
 }
 
@@ -32,27 +32,27 @@
         let silence = Duration::from_millis((settings.constraints.quiet_ms / 4.0) as u64);
         Arc::new(FrontService {
             rpc_clients: RpcClients::new(silence),
-            known: watch::channel(ClusterView::default()).0,
+            view: watch::channel(ClusterView::default()).0,
             closing: watch::channel(Closing::Open).0,
             settings,
         })
     }
 
-    pub(crate) fn ratio(&self, part: f64) -> Duration {
-        Duration::from_micros((self.settings.constraints.quiet_ms * 1000.0 / part) as u64)
+    pub(crate) fn quiet_fraction(&self, divisor: f64) -> Duration {
+        Duration::from_micros((self.settings.constraints.quiet_ms * 1000.0 / divisor) as u64)
     }
 
-    pub fn owner(&self, partition: u32) -> Option<String> {
-        OwnerAddress::of(&self.known.borrow(), partition).map(|owner| owner.inner)
+    pub fn owner_address(&self, partition: u32) -> Option<String> {
+        OwnerAddress::of(&self.view.borrow(), partition).map(|owner| owner.inner)
     }
 
     fn bounds(&self) -> Bounds {
-        let l = &self.known.borrow().configuration.limits;
+        let l = &self.view.borrow().configuration.limits;
         Bounds::told(l.header_bytes, l.body_bytes, l.header_ms, l.idle_ms)
     }
 
     pub fn is_ready(&self) -> bool {
-        let k = self.known.borrow();
+        let k = self.view.borrow();
         *self.closing.borrow() == Closing::Open
             && k.configuration.revision > 0
             && !k.assignments.partitions.is_empty()
@@ -79,15 +79,15 @@
                 return self.look_up(name, &r, true).await;
             }
         }
-        self.take(r).await
+        self.accept_message(r).await
     }
 
     /// Takes the news from the agent beside it.
     async fn follow(self: Arc<Self>, worker: Arc<DeliveryWorker>) {
         let follower = Follower::new(&self.settings, self.rpc_clients.clone(), rpc::new_incarnation());
-        let have = || self.known.borrow().have();
+        let have = || self.view.borrow().have();
         let learn = |news: &ViewUpdate, asked_at| {
-            self.known.send_if_modified(|known| known.take_answer(news, asked_at));
+            self.view.send_if_modified(|known| known.take_answer(news, asked_at));
         };
         let is_leaving = |closing: &Closing| *closing != Closing::Open;
         follower.run(self.closing.subscribe(), is_leaving, have, || worker.unidentified(), learn).await;
--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -12,6 +12,6 @@
 pub mod tenancy;
 pub use agent::{PlacementKeys, partition_of};
 pub use callback::{CallbackError, CallbackUrl};
-pub use delivery::{delivery_headers, read_answer};
+pub use delivery::{classify_answer, delivery_headers};
 pub use ingest::{FrontService, run};
-pub use outbox::{Outbox, OutboxEntry};
+pub use outbox::{Outbox, RunDecision};
--- a/crates/front/src/lookup.rs
+++ b/crates/front/src/lookup.rs
@@ -145,7 +145,7 @@
     /// Answers with the state of a message, or with its body.
     pub(crate) async fn look_up(&self, name: &str, r: &Request, wants_body: bool) -> Reply {
         let begun = Instant::now();
-        let known = self.known.borrow().clone();
+        let known = self.view.borrow().clone();
         if !self.is_fresh(&known) {
             return stale();
         }
@@ -176,7 +176,7 @@
                 return unknown();
             }
             wanted = open;
-            tokio::time::sleep(self.ratio(200.0)).await;
+            tokio::time::sleep(self.quiet_fraction(200.0)).await;
         }
         telemetry::count("lookups_given_up");
         fault(503, "its owner is not known now").with("Retry-After", "1")
@@ -198,7 +198,7 @@
         if !question.wants_body {
             return Err(miss);
         }
-        let copies = copy_addresses(&self.known.borrow(), partition);
+        let copies = copy_addresses(&self.view.borrow(), partition);
         for address in copies {
             let call = Body::Lookup(question.lookup(partition, &self.settings.region));
             let answer = self.rpc_clients.to(&address).call(call, limit / COPY_CALLS).await;
@@ -218,7 +218,7 @@
         partition: u32,
         limit: Duration,
     ) -> Result<Option<Found>, LookupMiss> {
-        let address = self.owner(partition).ok_or(LookupMiss::NoOwner)?;
+        let address = self.owner_address(partition).ok_or(LookupMiss::NoOwner)?;
         let call = Body::Lookup(question.lookup(partition, &self.settings.region));
         match self.rpc_clients.to(&address).call(call, limit).await {
             Ok(Body::Found(found)) if found.owner => Ok(Some(found).filter(|found| found.known)),
@@ -233,7 +233,7 @@
         if !UNANSWERED_LOG.allows(LOG_PERIOD) {
             return;
         }
-        let owner = OwnerAddress::of(&self.known.borrow(), partition);
+        let owner = OwnerAddress::of(&self.view.borrow(), partition);
         let (owner, term) = owner.map_or((String::new(), 0), |owner| (owner.name, owner.term));
         let what = if question.wants_body { "body" } else { "state" };
         telemetry::change!("{what} of {}: {miss}: partition {partition}, owner {owner:?}, term {term}", question.name);
--- a/crates/front/src/outbox.rs
+++ b/crates/front/src/outbox.rs
@@ -6,9 +6,9 @@
 
 /// What becomes of a run that was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum OutboxEntry {
+pub enum RunDecision {
     /// It is to be sent.
-    Go,
+    Send,
     /// It is under way, or its report is.
     Held,
     /// It will never be sent from here by this ask.
@@ -57,36 +57,36 @@
 
     /// A run is asked for, or given up. `assignments` is the partition's term as far as
     /// this node knows; a process that has just begun was told none by an owner.
-    pub fn run(&mut self, r: &Run, assignments: Option<u64>, leaving: bool, now: u64) -> OutboxEntry {
+    pub fn run(&mut self, r: &Run, assignments: Option<u64>, leaving: bool, now: u64) -> RunDecision {
         if now > self.beat + self.quiet / 40 + self.quiet / 12 {
             self.beat(now);
         }
         let known = self.terms.get(&r.partition).copied().max(assignments);
         if known.is_none_or(|t| r.term < t) {
             telemetry::count("runs_fenced");
-            return OutboxEntry::Refused;
+            return RunDecision::Refused;
         }
         self.terms.insert(r.partition, r.term);
         match self.held.get(&(r.partition, r.position)) {
-            Some(held) if *held == (r.term, r.attempt) => return OutboxEntry::Held,
+            Some(held) if *held == (r.term, r.attempt) => return RunDecision::Held,
             // One message is never sent twice at once from here.
             Some(_) if !r.revoked => {
                 telemetry::count("runs_refused");
-                return OutboxEntry::Refused;
+                return RunDecision::Refused;
             }
             _ => {}
         }
         let name = (r.partition, r.term, r.attempt);
         if r.revoked {
             self.revoked.insert(name, now + self.remember);
-            return OutboxEntry::Refused;
+            return RunDecision::Refused;
         }
         if leaving || now < self.wary || self.revoked.contains_key(&name) {
             telemetry::count("runs_refused");
-            return OutboxEntry::Refused;
+            return RunDecision::Refused;
         }
         self.held.insert((r.partition, r.position), (r.term, r.attempt));
-        OutboxEntry::Go
+        RunDecision::Send
     }
 
     /// A new owner asks what is held here.
--- a/crates/front/src/owner_calls.rs
+++ b/crates/front/src/owner_calls.rs
@@ -67,7 +67,7 @@
 
 impl<'a> OwnerCalls<'a> {
     pub(crate) fn new(front: &'a FrontService) -> OwnerCalls<'a> {
-        OwnerCalls { front, view: front.known.subscribe(), closing: front.closing.subscribe(), hint: None }
+        OwnerCalls { front, view: front.view.subscribe(), closing: front.closing.subscribe(), hint: None }
     }
 
     /// Whether the process is about to end: what is known by now is the answer.
@@ -104,12 +104,12 @@
             if !is_unclear && self.front.no_store_answers(&view) {
                 return OwnerAnswer::NoStoreAnswers;
             }
-            tokio::time::sleep(self.front.ratio(100.0)).await;
+            tokio::time::sleep(self.front.quiet_fraction(100.0)).await;
             return OwnerAnswer::NotSent;
         }
         let moved = self.view.wait_for(|view| OwnerAddress::of(view, partition) != owner);
         // An owner that is well answers within that.
-        let patience = self.front.ratio(100.0);
+        let patience = self.front.quiet_fraction(100.0);
         let ending = async {
             let _ = self.closing.wait_for(|closing| *closing == Closing::Ending).await;
             tokio::time::sleep(patience).await;
@@ -142,7 +142,7 @@
 impl FrontService {
     /// An owner that has answered nothing for so long is sent nothing new.
     fn owner_silence(&self) -> Duration {
-        self.ratio(OWNER_SILENCE_PART)
+        self.quiet_fraction(OWNER_SILENCE_PART)
     }
 
     /// Whether calls to each store node go unanswered.
--- a/crates/front/src/submission.rs
+++ b/crates/front/src/submission.rs
@@ -84,7 +84,7 @@
     /// The answer that refuses it.
     pub(crate) fn submission_of(&self, request: &Request) -> Result<Submission, Box<Reply>> {
         let begun = Instant::now();
-        let view = self.known.borrow().clone();
+        let view = self.view.borrow().clone();
         if view.configuration.revision == 0 {
             return Err(fault(503, "no configuration yet").with("Retry-After", "1").into());
         }
--- a/crates/front/tests/answers.rs
+++ b/crates/front/tests/answers.rs
@@ -48,7 +48,7 @@
     let mut settings = Settings { zone: "x".into(), ..Settings::default() };
     settings.constraints.quiet_ms = 4000.0;
     let front = FrontService::new(settings);
-    front.known.send_replace(known(&addr));
+    front.view.send_replace(known(&addr));
     let header = |n: &str, v: &str| (n.to_owned(), v.to_owned());
     let request = Request {
         method: "POST".into(),
@@ -64,7 +64,7 @@
         });
     }
     let begun = Instant::now();
-    let reply = front.take(request).await;
+    let reply = front.accept_message(request).await;
     let retry = reply.headers.iter().any(|h| h.0 == "Retry-After");
     (reply.status, retry, seen.load(Ordering::Relaxed), begun.elapsed())
 }
@@ -167,11 +167,11 @@
 
 #[test]
 fn only_a_processors_word_or_a_send_that_never_left_says_not_run() {
-    use front::read_answer;
+    use front::classify_answer;
     use http1::{Answer, SendError};
     let of = |status: u16, headers: &[(&str, &str)]| {
         let headers = headers.iter().map(|(n, v)| (n.to_string(), v.to_string())).collect();
-        read_answer(&Ok(Answer { status, headers, whole: true, ..Answer::default() })).0
+        classify_answer(&Ok(Answer { status, headers, whole: true, ..Answer::default() })).0
     };
     for status in [400, 409, 429, 503] {
         assert_eq!(of(status, &[("X-Not-Run", "1")]), Outcome::NotRun);
@@ -183,7 +183,7 @@
     });
     assert_eq!(of(200, &[("X-Not-Run", "1"), ("X-Seal", "s")]), Outcome::Done, "it is sealed");
     assert_eq!((of(504, &[]), of(502, &[])), (Outcome::Unknown, Outcome::Unknown));
-    let missed = [SendError::NotSent, SendError::Lost, SendError::Silent].map(|m| read_answer(&Err(m)).0);
+    let missed = [SendError::NotSent, SendError::Lost, SendError::Silent].map(|m| classify_answer(&Err(m)).0);
     assert_eq!(missed, [Outcome::NotRun, Outcome::Unknown, Outcome::Unknown]);
 }
 
@@ -202,7 +202,7 @@
     }));
     let membership = Membership { version: 2, nodes, ..Membership::default() };
     view.take(&ViewUpdate { membership: Some(membership), ..ViewUpdate::default() });
-    front.known.send_replace(view);
+    front.view.send_replace(view);
     front
 }
 
@@ -224,11 +224,11 @@
     let front = front_beside(&addr, more);
     let first = tokio::spawn({
         let front = front.clone();
-        async move { front.take(message("m1")).await.status }
+        async move { front.accept_message(message("m1")).await.status }
     });
     tokio::time::sleep(Duration::from_millis(300)).await;
     let begun = Instant::now();
-    let reply = front.take(message("m2")).await;
+    let reply = front.accept_message(message("m2")).await;
     let took = begun.elapsed();
     assert_eq!(first.await.expect("answered"), 504, "the first may have been taken");
     (reply.status, reply.headers.iter().any(|h| h.0 == "Retry-After"), took)
--- a/crates/front/tests/homes.rs
+++ b/crates/front/tests/homes.rs
@@ -31,7 +31,7 @@
     settings.constraints.quiet_ms = 4000.0;
     settings.constraints.notify_s = 5.0;
     let front = FrontService::new(settings);
-    front.known.send_replace(common::view(&address, CONFIG));
+    front.view.send_replace(common::view(&address, CONFIG));
     front
 }
 
--- a/crates/front/tests/lookups.rs
+++ b/crates/front/tests/lookups.rs
@@ -54,7 +54,7 @@
         membership: Some(Membership { version: 2, nodes: nodes.to_vec(), ..Membership::default() }),
         ..ViewUpdate::default()
     });
-    front.known.send_replace(view);
+    front.view.send_replace(view);
     front
 }
 
--- a/crates/front/tests/placements.rs
+++ b/crates/front/tests/placements.rs
@@ -291,7 +291,7 @@
     }
 
     fn learn(&self, front: usize) {
-        self.fronts[front].known.send_replace(self.view.clone());
+        self.fronts[front].view.send_replace(self.view.clone());
     }
 
     async fn play(&mut self, step: &Step) -> Result<(), TestCaseError> {
@@ -341,7 +341,7 @@
         let headers = headers.into_iter().map(|(name, value)| (name.to_owned(), value)).collect();
         let path = if is_inner { "/a/b/x" } else { "/a/x" };
         let request = Request { method: "POST".into(), path: path.into(), headers, ..Request::default() };
-        let reply = self.fronts[front].take(request).await;
+        let reply = self.fronts[front].accept_message(request).await;
         if reply.status == 202 {
             let name = reply.headers.iter().find(|(name, _)| *name == "X-Message-Name").map(|(_, value)| value.clone());
             let name = name.expect("a name").to_string();
--- a/crates/front/tests/tenants.rs
+++ b/crates/front/tests/tenants.rs
@@ -66,7 +66,7 @@
     settings.constraints.revoke_ms = 4000.0;
     settings.constraints.key_window_s = key_window_s;
     let front = FrontService::new(settings);
-    front.known.send_replace(view(&address, CONFIG));
+    front.view.send_replace(view(&address, CONFIG));
     Played { front, accepts, asked_positions }
 }
 
@@ -141,7 +141,7 @@
 async fn without_tenants_and_a_key_window_a_message_is_what_it_was() {
     let played = played(false, 0.0).await;
     let without = CONFIG.split(", \"tenants\"").next().expect("a part").to_owned() + "}";
-    played.front.known.send_modify(|view| {
+    played.front.view.send_modify(|view| {
         let address = view.membership.nodes[0].inner.clone();
         *view = self::view(&address, &without);
     });
@@ -179,7 +179,7 @@
             configuration_age_ms: Some(ms_ago),
             ..ViewUpdate::default()
         };
-        played.front.known.send_modify(|view| {
+        played.front.view.send_modify(|view| {
             view.take_answer(&update, Instant::now());
         });
     };
