--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,5 +1,5 @@
-//! The front machines' program: takes messages from clients, answers for their
-//! state, and carries out deliveries and call-backs.
+//! The front program: accepts messages from clients, answers queries for their state and body, and
+//! carries out deliveries and callbacks.
 
 mod accept;
 mod callback;
