--- a/crates/front/src/delivery.rs
+++ b/crates/front/src/delivery.rs
@@ -1,5 +1,5 @@
-//! Deliveries and call-backs: carried out here, reported to whoever owns the
-//! partition by then, and held until that owner has it on its disks.
+//! Carries out deliveries and callbacks. The outcome of a delivery is reported to the current owner
+//! of its partition, and the delivery is held until that owner has the report on its disks.
 
 use crate::callback::CallbackUrl;
 use crate::ingest::FrontService;
@@ -10,21 +10,23 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
+/// Runs the deliveries and callbacks that owners request from this node.
 pub struct DeliveryWorker {
     front: Arc<FrontService>,
     pool: Arc<ConnectionPool>,
-    held: Mutex<Outbox>,
-    start: Instant,
+    outbox: Mutex<Outbox>,
+    started: Instant,
 }
 
-/// What an answer means for the message.
-pub fn classify_answer(asked: &Result<Answer, SendError>) -> (Outcome, String) {
-    match asked {
-        Ok(a) => {
-            let not_run = a.status == 421 || a.header("x-not-run").is_some();
-            match (a.status, a.header("x-seal")) {
+/// Maps a processor's answer, or the failure to get one, to the outcome of the attempt and its result
+/// tag.
+pub fn classify_answer(result: &Result<Answer, SendError>) -> (Outcome, String) {
+    match result {
+        Ok(answer) => {
+            let not_run = answer.status == 421 || answer.header("x-not-run").is_some();
+            match (answer.status, answer.header("x-seal")) {
                 (200..=299, Some(result_tag)) if !result_tag.is_empty() => (Outcome::Done, result_tag.to_owned()),
-                (s, _) if s >= 400 && not_run => (Outcome::NotRun, String::new()),
+                (status, _) if status >= 400 && not_run => (Outcome::NotRun, String::new()),
                 (500, _) => (Outcome::Failed, String::new()),
                 (422, _) => (Outcome::Never, String::new()),
                 _ => (Outcome::Unknown, String::new()),
@@ -35,12 +37,13 @@
     }
 }
 
-fn load(a: &Answer) -> Option<(u32, u32)> {
-    let mut parts = a.header("x-load")?.split(',').map(|p| p.trim().parse::<u32>().ok());
+/// Running and waiting requests as the processor states them in `X-Load`.
+fn load_of(answer: &Answer) -> Option<(u32, u32)> {
+    let mut parts = answer.header("x-load")?.split(',').map(|part| part.trim().parse::<u32>().ok());
     Some((parts.next()??, parts.next()??))
 }
 
-/// The headers of a delivery: what this system says, and nothing else that the client did.
+/// Headers of a delivery: those that this system sets. No other header of the client is forwarded.
 pub fn delivery_headers<'a>(run: &'a Run, deadline_ms: &'a str) -> Vec<(&'a str, &'a str)> {
     let mut headers = vec![("X-Attempt-Id", run.item.id.as_str()), ("X-Deadline-Ms", deadline_ms)];
     for (name, value) in [
@@ -58,72 +61,76 @@
 
 impl DeliveryWorker {
     pub fn new(front: Arc<FrontService>) -> Arc<DeliveryWorker> {
-        let idle = Duration::from_millis(front.settings.constraints.quiet_ms as u64);
-        let c = &front.settings.constraints;
-        let held = Mutex::new(Outbox::new(c.quiet_ms as u64, (c.status_s * 1000.0) as u64));
-        Arc::new(DeliveryWorker { front, pool: ConnectionPool::new(idle), held, start: Instant::now() })
+        let constraints = &front.settings.constraints;
+        let idle = Duration::from_millis(constraints.quiet_ms as u64);
+        let outbox = Mutex::new(Outbox::new(constraints.quiet_ms as u64, (constraints.status_s * 1000.0) as u64));
+        Arc::new(DeliveryWorker { front, pool: ConnectionPool::new(idle), outbox, started: Instant::now() })
     }
 
-    pub fn idle(&self) -> bool {
-        self.held.lock().unwrap().under_way() == 0
+    /// Whether no delivery is in progress or waits for its report to be acknowledged.
+    pub fn is_idle(&self) -> bool {
+        self.outbox.lock().unwrap().under_way() == 0
     }
 
-    fn now(&self) -> u64 {
-        self.start.elapsed().as_millis() as u64
+    /// Milliseconds since this worker was created.
+    fn now_ms(&self) -> u64 {
+        self.started.elapsed().as_millis() as u64
     }
 
-    /// Called every fortieth of `quietMs`.
-    pub fn beat(&self) {
-        self.held.lock().unwrap().beat(self.now());
+    /// Must be called every `quietMs` / 40; see [`Outbox::tick`].
+    pub fn tick(&self) {
+        self.outbox.lock().unwrap().tick(self.now_ms());
     }
 
-    /// Processors whose answers do not name their request, by address.
+    /// Addresses of the processors whose answers do not carry the id of their request.
     pub fn unidentified(&self) -> Vec<String> {
         self.pool.unidentified()
     }
 
+    /// Closes pooled connections that have been idle for too long.
     pub fn sweep(&self) {
         self.pool.sweep(|_| true);
     }
 
+    /// Handles a call of another node.
     pub fn handle(self: &Arc<Self>, body: Body, responder: Responder) {
         match body {
             Body::Run(run) => {
                 let leaving = *self.front.closing.borrow() != Closing::Open;
                 let term = {
-                    let k = self.front.view.borrow();
-                    let all = &k.assignments.partitions;
-                    // Mostly they stand by their numbers.
-                    let at = all.get(run.partition as usize).filter(|p| p.id == run.partition);
-                    at.or_else(|| all.iter().find(|p| p.id == run.partition)).map(|p| p.term)
+                    let view = self.front.view.borrow();
+                    let partitions = &view.assignments.partitions;
+                    // Usually the index of a partition is its id.
+                    let indexed = partitions.get(run.partition as usize).filter(|p| p.id == run.partition);
+                    indexed.or_else(|| partitions.iter().find(|p| p.id == run.partition)).map(|p| p.term)
                 };
-                let word = self.held.lock().unwrap().run(&run, term, leaving, self.now());
-                if word == RunDecision::Send {
+                let decision = self.outbox.lock().unwrap().request_run(&run, term, leaving, self.now_ms());
+                if decision == RunDecision::Send {
                     tokio::spawn(self.clone().deliver(run));
                 }
-                responder.send(Body::RunAck(RunAck { taken: word != RunDecision::Refused }));
+                responder.send(Body::RunAck(RunAck { taken: decision != RunDecision::Refused }));
             }
-            Body::Holding(q) => {
-                let held = self.held.lock().unwrap().holding(&q);
+            Body::Holding(query) => {
+                let held = self.outbox.lock().unwrap().held_deliveries(&query);
                 responder.send(Body::Held(held));
             }
-            Body::Notify(n) => {
+            Body::Notify(notification) => {
                 let worker = self.clone();
                 tokio::spawn(telemetry::contained(async move {
-                    let status = worker.notify(n).await;
+                    let status = worker.notify(notification).await;
                     responder.send(Body::NotifyAck(NotifyAck { status }));
                 }));
             }
             Body::Status(_) => {
-                let k = self.front.view.borrow().have();
+                let versions = self.front.view.borrow().have();
                 let json = format!(
                     "{{\"node\":\"{}\",\"ready\":{},\"template\":{},\"assignments\":{},\"membership\":{},\"underWay\":{},\"counters\":\"{}\"}}",
                     self.front.settings.node,
                     self.front.is_ready(),
-                    k.configuration,
-                    k.assignments,
-                    k.membership,
-                    self.held.lock().unwrap().under_way(),
+                    versions.configuration,
+                    versions.assignments,
+                    versions.membership,
+                    self.outbox.lock().unwrap().under_way(),
                     telemetry::render()
                 );
                 responder.send(Body::StatusAck(StatusAck { json }));
@@ -146,92 +153,97 @@
             newest: None,
             connect: None,
         };
-        // The processor ends its work at the cutoff and says so; a little longer for that to arrive.
-        let within = Duration::from_millis(run.timeout_ms as u64) * 21 / 20;
-        self.pool.call(&run.address, call, run.conn_limit.max(1) as usize, within).await
+        // The processor stops at the cutoff and answers so; a twentieth more lets that answer arrive.
+        let timeout = Duration::from_millis(run.timeout_ms as u64) * 21 / 20;
+        self.pool.call(&run.address, call, run.conn_limit.max(1) as usize, timeout).await
     }
 
+    /// Delivers a message and reports the outcome.
     async fn deliver(self: Arc<Self>, run: Run) {
-        let begun = Instant::now();
+        let started = Instant::now();
         let run = Arc::new(run);
-        // Whatever a processor answers, the report of its run is owed.
+        // The send runs in a task of its own, so that the outcome is reported even if it panics.
         let sending = tokio::spawn(telemetry::contained(self.clone().send(run.clone())));
-        let asked = sending.await.unwrap_or(Err(SendError::Lost));
-        let (outcome, result_tag) = classify_answer(&asked);
-        let told = asked.as_ref().ok().and_then(load);
+        let result = sending.await.unwrap_or(Err(SendError::Lost));
+        let (outcome, result_tag) = classify_answer(&result);
+        let load = result.as_ref().ok().and_then(load_of);
         let report = Report {
             partition: run.partition,
             position: run.position,
             outcome: outcome as i32,
             result_tag,
-            status: asked.as_ref().map_or(0, |a| a.status as u32),
-            running: told.map_or(0, |t| t.0),
-            waiting: told.map_or(0, |t| t.1),
-            loaded: told.is_some(),
+            status: result.as_ref().map_or(0, |answer| answer.status as u32),
+            running: load.map_or(0, |(running, _)| running),
+            waiting: load.map_or(0, |(_, waiting)| waiting),
+            loaded: load.is_some(),
             attempt: run.attempt,
             term: run.term,
-            took_ms: begun.elapsed().as_millis() as u32,
+            took_ms: started.elapsed().as_millis() as u32,
         };
         telemetry::count("deliveries");
-        if let Err(m) = &asked {
-            telemetry::count(match m {
+        if let Err(error) = &result {
+            telemetry::count(match error {
                 SendError::NotSent => "deliveries_not_sent",
                 SendError::Lost => "deliveries_lost",
                 SendError::Silent => "deliveries_silent",
             });
         }
         self.report(report).await;
-        self.held.lock().unwrap().over(run.partition, run.position);
+        self.outbox.lock().unwrap().release(run.partition, run.position);
     }
 
-    /// Tells the owner, whoever that is by now, until it has it.
+    /// Sends a report to the current owner of the partition, and retries until an owner acknowledges it
+    /// or `statusS` is over.
     async fn report(&self, report: Report) {
-        let c = &self.front.settings.constraints;
-        let wait = Duration::from_millis((c.quiet_ms / 4.0) as u64);
-        let pause = Duration::from_millis((c.quiet_ms / 250.0) as u64);
-        let end = Instant::now() + Duration::from_secs_f64(c.status_s);
-        while Instant::now() < end {
-            if let Some(addr) = self.front.owner_address(report.partition) {
-                let mut rx = self.front.view.subscribe();
-                rx.mark_unchanged();
-                let owner = Some(addr.clone());
-                let moved = rx.wait_for(|k| {
-                    let p = k.assignments.partitions.iter().find(|p| p.id == report.partition);
-                    p.and_then(|p| k.node(&p.owner, "store")).map(|n| n.inner.clone()) != owner
+        let constraints = &self.front.settings.constraints;
+        let timeout = Duration::from_millis((constraints.quiet_ms / 4.0) as u64);
+        let retry_delay = Duration::from_millis((constraints.quiet_ms / 250.0) as u64);
+        let deadline = Instant::now() + Duration::from_secs_f64(constraints.status_s);
+        while Instant::now() < deadline {
+            if let Some(address) = self.front.owner_address(report.partition) {
+                let mut view = self.front.view.subscribe();
+                view.mark_unchanged();
+                let owner = Some(address.clone());
+                let moved = view.wait_for(|view| {
+                    let partition = view.assignments.partitions.iter().find(|p| p.id == report.partition);
+                    partition.and_then(|p| view.node(&p.owner, "store")).map(|node| node.inner.clone()) != owner
                 });
-                let rpc_client = self.front.rpc_clients.to(&addr);
-                let asked = tokio::select! {
-                    a = rpc_client.call(Body::Report(report.clone()), wait) => a.ok(),
+                let rpc_client = self.front.rpc_clients.to(&address);
+                let answer = tokio::select! {
+                    answer = rpc_client.call(Body::Report(report.clone()), timeout) => answer.ok(),
                     _ = moved => None,
                 };
-                if let Some(Body::ReportAck(a)) = asked
-                    && a.kept
+                if let Some(Body::ReportAck(ack)) = answer
+                    && ack.kept
                 {
                     return;
                 }
             }
             telemetry::count("reports_again");
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(retry_delay).await;
         }
         telemetry::count("reports_dropped");
     }
 
-    async fn notify(&self, n: Notify) -> u32 {
-        let Ok(url) = n.url.parse::<CallbackUrl>() else { return 400 };
+    /// Sends a callback and returns the status of the receiver's answer, 400 for an invalid URL, or 0 if
+    /// nothing was sent or no answer arrived.
+    async fn notify(&self, notification: Notify) -> u32 {
+        let Ok(url) = notification.url.parse::<CallbackUrl>() else { return 400 };
         let membership = self.front.view.borrow().membership.clone();
-        let addr = match url.resolve(&self.front.settings, &membership).await {
-            Ok(addr) => addr,
-            Err(why) => {
-                // The machine may have joined since the message was accepted.
+        let address = match url.resolve(&self.front.settings, &membership).await {
+            Ok(address) => address,
+            Err(error) => {
+                // The receiver's address may have become one of this system since the message was
+                // accepted, when a machine joined.
                 telemetry::count("call_backs_not_sent");
-                telemetry::debug!("call-back of {}: {why}", n.id);
+                telemetry::debug!("callback for message {} not sent: {error}", notification.id);
                 return 0;
             }
         };
-        let body = if n.result_tag.is_empty() {
-            serde_json::json!({"id": n.id, "state": n.state})
+        let body = if notification.result_tag.is_empty() {
+            serde_json::json!({"id": notification.id, "state": notification.state})
         } else {
-            serde_json::json!({"id": n.id, "state": n.state, "seal": n.result_tag})
+            serde_json::json!({"id": notification.id, "state": notification.state, "seal": notification.result_tag})
         }
         .to_string();
         let headers = [("Content-Type", "application/json")];
@@ -245,12 +257,11 @@
             newest: None,
             connect: None,
         };
-        let within = Duration::from_millis((self.front.settings.constraints.notify_s * 300.0) as u64);
-        // Receivers take few connections, and there is a delivery node for them in
-        // each zone.
+        let timeout = Duration::from_millis((self.front.settings.constraints.notify_s * 300.0) as u64);
+        // Receivers accept few connections, and each zone has a delivery node that calls them.
         let limit = (48 / self.front.settings.zones.len().max(1)).max(2);
-        match self.pool.call(&addr, call, limit, within).await {
-            Ok(a) => a.status as u32,
+        match self.pool.call(&address, call, limit, timeout).await {
+            Ok(answer) => answer.status as u32,
             Err(_) => 0,
         }
     }
--- a/crates/front/src/ingest.rs
+++ b/crates/front/src/ingest.rs
@@ -1,4 +1,4 @@
-//! The front's service: what it knows, and the listeners that it answers on.
+//! The front's service: its view of the cluster and its listeners.
 
 use crate::delivery::DeliveryWorker;
 use crate::owner_calls::OwnerAddress;
@@ -11,17 +11,22 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
+/// State shared by all requests of a front.
 pub struct FrontService {
     pub settings: Settings,
     pub rpc_clients: Arc<RpcClients>,
+    /// The newest view of the cluster that the local agent has sent.
     pub view: watch::Sender<ClusterView>,
+    /// Phase of the shutdown.
     pub closing: watch::Sender<Closing>,
 }
 
+/// An error reply with a JSON body that states the reason.
 pub(crate) fn fault(status: u16, why: &str) -> Reply {
     Reply::json(status, serde_json::json!({ "fault": why }).to_string())
 }
 
+/// The reply while the configuration is not confirmed to be the newest.
 pub(crate) fn stale() -> Reply {
     telemetry::count("refused_stale");
     fault(503, "the configuration is not known to be fresh").with("Retry-After", "1")
@@ -38,112 +43,115 @@
         })
     }
 
+    /// `quietMs` divided by `divisor`.
     pub(crate) fn quiet_fraction(&self, divisor: f64) -> Duration {
         Duration::from_micros((self.settings.constraints.quiet_ms * 1000.0 / divisor) as u64)
     }
 
+    /// The inner address of a partition's owner; `None` if it is unknown.
     pub fn owner_address(&self, partition: u32) -> Option<String> {
         OwnerAddress::of(&self.view.borrow(), partition).map(|owner| owner.inner)
     }
 
     fn bounds(&self) -> Bounds {
-        let l = &self.view.borrow().configuration.limits;
-        Bounds::told(l.header_bytes, l.body_bytes, l.header_ms, l.idle_ms)
+        let limits = &self.view.borrow().configuration.limits;
+        Bounds::told(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
     }
 
+    /// Whether this front can serve clients; the result of the readiness probe.
     pub fn is_ready(&self) -> bool {
-        let k = self.view.borrow();
+        let view = self.view.borrow();
         *self.closing.borrow() == Closing::Open
-            && k.configuration.revision > 0
-            && !k.assignments.partitions.is_empty()
-            && k.membership.nodes.iter().any(|n| n.role == "store")
-            && self.is_fresh(&k)
+            && view.configuration.revision > 0
+            && !view.assignments.partitions.is_empty()
+            && view.membership.nodes.iter().any(|node| node.role == "store")
+            && self.is_fresh(&view)
     }
 
-    /// Whether this front may act on its configuration: where machines have to show that
-    /// theirs is the newest, it was shown a short while ago. Asked once a request is whole, so
-    /// whatever passes was sent before that moment.
-    pub(crate) fn is_fresh(&self, known: &ClusterView) -> bool {
+    /// Whether this front may act on its configuration. If machines must confirm that their
+    /// configuration is the newest, the last confirmation has to be recent enough. This is checked
+    /// after a request was read completely, so every request that passes was sent before the check.
+    pub(crate) fn is_fresh(&self, view: &ClusterView) -> bool {
         let bound = self.settings.constraints.freshness_bound();
-        bound.is_none_or(|bound| known.freshness.is_within(bound, Instant::now()))
+        bound.is_none_or(|bound| view.freshness.is_within(bound, Instant::now()))
     }
 
-    /// Answers a client's request.
-    pub async fn answer(self: Arc<Self>, r: Request) -> Reply {
-        let path = r.path.split('?').next().unwrap_or("");
-        if r.method == "GET" {
+    /// Handles a client's request.
+    pub async fn answer(self: Arc<Self>, request: Request) -> Reply {
+        let path = request.path.split('?').next().unwrap_or("");
+        if request.method == "GET" {
             if let Some(name) = path.strip_prefix("/message/") {
-                return self.look_up(name, &r, false).await;
+                return self.look_up(name, &request, false).await;
             }
             if let Some(name) = path.strip_prefix("/message-body/") {
-                return self.look_up(name, &r, true).await;
+                return self.look_up(name, &request, true).await;
             }
         }
-        self.accept_message(r).await
+        self.accept_message(request).await
     }
 
-    /// Takes the news from the agent beside it.
+    /// Applies the view updates of the local agent until the process ends.
     async fn follow(self: Arc<Self>, worker: Arc<DeliveryWorker>) {
         let follower = Follower::new(&self.settings, self.rpc_clients.clone(), rpc::new_incarnation());
         let have = || self.view.borrow().have();
-        let learn = |news: &ViewUpdate, asked_at| {
-            self.view.send_if_modified(|known| known.take_answer(news, asked_at));
+        let apply = |update: &ViewUpdate, asked_at| {
+            self.view.send_if_modified(|view| view.take_answer(update, asked_at));
         };
         let is_leaving = |closing: &Closing| *closing != Closing::Open;
-        follower.run(self.closing.subscribe(), is_leaving, have, || worker.unidentified(), learn).await;
+        follower.run(self.closing.subscribe(), is_leaving, have, || worker.unidentified(), apply).await;
     }
 }
 
-/// Runs a front until it is told to stop.
+/// Runs a front until `stop` is set, then drains it.
 pub async fn run(settings: Settings, mut stop: watch::Receiver<bool>) -> Result<(), String> {
     let silence = Duration::from_millis((settings.constraints.quiet_ms / 4.0) as u64);
     let front = FrontService::new(settings.clone());
     let worker = DeliveryWorker::new(front.clone());
     let bind = async |addr: String| tokio::net::TcpListener::bind(&addr).await.map_err(|e| format!("{addr}: {e}"));
     let inner = bind(settings.inner_addr(Role::Front)).await?;
-    let b = worker.clone();
-    tokio::spawn(rpc::serve(inner, silence, move |body, responder| b.handle(body, responder)));
+    let handler = worker.clone();
+    tokio::spawn(rpc::serve(inner, silence, move |body, responder| handler.handle(body, responder)));
     tokio::spawn(front.clone().follow(worker.clone()));
-    let h = front.clone();
+    let probed = front.clone();
     let ready = bind(settings.listen.ready.clone()).await?;
-    let open = watch::channel(Closing::Open);
-    tokio::spawn(http1::listen(ready, Bounds::default, open.1, ClientWatch::Off, move |_| {
-        let ok = h.is_ready();
-        async move { if ok { Reply::new(200) } else { Reply::new(503) } }
+    let (_open, always_open) = watch::channel(Closing::Open);
+    tokio::spawn(http1::listen(ready, Bounds::default, always_open, ClientWatch::Off, move |_| {
+        let is_ready = probed.is_ready();
+        async move { if is_ready { Reply::new(200) } else { Reply::new(503) } }
     }));
     let clients = bind(settings.listen.front.clone()).await?;
-    let (h, hb) = (front.clone(), front.clone());
+    let (answering, limited) = (front.clone(), front.clone());
     tokio::spawn(http1::listen(
         clients,
-        move || hb.bounds(),
+        move || limited.bounds(),
         front.closing.subscribe(),
         ClientWatch::Off,
-        move |r| h.clone().answer(r),
+        move |request| answering.clone().answer(request),
     ));
-    let (b, beat) = (worker.clone(), silence / 10);
+    let (ticking, tick_interval) = (worker.clone(), silence / 10);
     tokio::spawn(async move {
         loop {
-            tokio::time::sleep(beat).await;
-            b.beat();
+            tokio::time::sleep(tick_interval).await;
+            ticking.tick();
         }
     });
-    let b = worker.clone();
+    let swept = worker.clone();
     let name = settings.node.clone();
     tokio::spawn(async move {
         let mut rounds = 0u64;
         loop {
             tokio::time::sleep(silence).await;
             rounds += 1;
-            b.sweep();
+            swept.sweep();
             if rounds.is_multiple_of(30) {
                 telemetry::report(&name, &rpc::sent());
             }
         }
     });
-    let _ = stop.wait_for(|s| *s).await;
+    let _ = stop.wait_for(|stopped| *stopped).await;
     telemetry::change!("draining");
     let grace = Duration::from_millis((settings.constraints.grace_s * 1000.0) as u64);
-    http1::end_in_order(&front.closing, grace, silence / 10, || worker.idle()).await;
+    http1::end_in_order(&front.closing, grace, silence / 10, || worker.is_idle()).await;
     telemetry::report(&settings.node, &rpc::sent());
     Ok(())
 }
--- a/crates/front/tests/outbox.rs
+++ b/crates/front/tests/outbox.rs
@@ -23,41 +23,41 @@
 #[test]
 fn a_run_of_an_older_term_is_fenced_where_its_partition_was_never_heard_of() {
     let mut s = outbox();
-    assert_eq!(s.run(&run(1, 5, 9), None, false, 0), RunDecision::Refused, "nothing is known here yet");
-    assert_eq!(s.run(&run(1, 5, 9), Some(2), false, 0), RunDecision::Refused, "the majority is further");
-    assert_eq!(s.run(&run(2, 5, 10), Some(2), false, 0), RunDecision::Send);
+    assert_eq!(s.request_run(&run(1, 5, 9), None, false, 0), RunDecision::Refused, "nothing is known here yet");
+    assert_eq!(s.request_run(&run(1, 5, 9), Some(2), false, 0), RunDecision::Refused, "the majority is further");
+    assert_eq!(s.request_run(&run(2, 5, 10), Some(2), false, 0), RunDecision::Send);
     // An owner that is ahead of this node's assignments.
-    assert_eq!(s.run(&run(3, 6, 11), Some(2), false, 0), RunDecision::Send);
-    assert_eq!(s.run(&run(2, 7, 12), Some(2), false, 0), RunDecision::Refused);
-    s.holding(&Holding { partition: 3, term: 4 });
-    assert_eq!(s.run(&run(3, 8, 13), Some(2), false, 0), RunDecision::Refused);
+    assert_eq!(s.request_run(&run(3, 6, 11), Some(2), false, 0), RunDecision::Send);
+    assert_eq!(s.request_run(&run(2, 7, 12), Some(2), false, 0), RunDecision::Refused);
+    s.held_deliveries(&Holding { partition: 3, term: 4 });
+    assert_eq!(s.request_run(&run(3, 8, 13), Some(2), false, 0), RunDecision::Refused);
 }
 
 #[test]
 fn a_run_that_was_given_up_before_it_came_is_never_sent() {
     let mut s = outbox();
-    assert_eq!(s.run(&revoked(1, 5, 9), Some(1), false, 0), RunDecision::Refused);
-    assert_eq!(s.run(&run(1, 5, 9), Some(1), false, 0), RunDecision::Refused);
-    assert_eq!(s.run(&run(1, 5, 10), Some(1), false, 0), RunDecision::Send, "the next attempt is");
+    assert_eq!(s.request_run(&revoked(1, 5, 9), Some(1), false, 0), RunDecision::Refused);
+    assert_eq!(s.request_run(&run(1, 5, 9), Some(1), false, 0), RunDecision::Refused);
+    assert_eq!(s.request_run(&run(1, 5, 10), Some(1), false, 0), RunDecision::Send, "the next attempt is");
     // One that was taken says so, and stays.
-    assert_eq!(s.run(&revoked(1, 5, 10), Some(1), false, 0), RunDecision::Held);
-    assert_eq!(s.run(&run(1, 5, 10), Some(1), false, 0), RunDecision::Held);
+    assert_eq!(s.request_run(&revoked(1, 5, 10), Some(1), false, 0), RunDecision::Held);
+    assert_eq!(s.request_run(&run(1, 5, 10), Some(1), false, 0), RunDecision::Held);
     // Also when another attempt at the message is held.
-    assert_eq!(s.run(&revoked(1, 5, 12), Some(1), false, 0), RunDecision::Refused);
-    s.over(3, 5);
-    assert_eq!(s.run(&run(1, 5, 12), Some(1), false, 0), RunDecision::Refused);
+    assert_eq!(s.request_run(&revoked(1, 5, 12), Some(1), false, 0), RunDecision::Refused);
+    s.release(3, 5);
+    assert_eq!(s.request_run(&run(1, 5, 12), Some(1), false, 0), RunDecision::Refused);
 }
 
 #[test]
 fn one_message_is_sent_once_at_a_time_also_when_a_number_is_used_again() {
     let mut s = outbox();
-    assert_eq!(s.run(&run(1, 5, 9), Some(1), false, 0), RunDecision::Send);
+    assert_eq!(s.request_run(&run(1, 5, 9), Some(1), false, 0), RunDecision::Send);
     // After a crash the log ends earlier, and the number comes again at the next term.
-    assert_eq!(s.run(&run(2, 5, 9), Some(2), false, 0), RunDecision::Refused);
-    let held = s.holding(&Holding { partition: 3, term: 2 });
+    assert_eq!(s.request_run(&run(2, 5, 9), Some(2), false, 0), RunDecision::Refused);
+    let held = s.held_deliveries(&Holding { partition: 3, term: 2 });
     assert_eq!((held.positions, held.attempts, held.terms), (vec![5], vec![9], vec![1]));
-    s.over(3, 5);
-    assert_eq!(s.run(&run(2, 5, 9), Some(2), false, 0), RunDecision::Send);
+    s.release(3, 5);
+    assert_eq!(s.request_run(&run(2, 5, 9), Some(2), false, 0), RunDecision::Send);
 }
 
 #[test]
@@ -65,16 +65,16 @@
     let mut s = outbox();
     let step = QUIET / 40;
     for n in 0..10 {
-        s.beat(n * step);
-        assert_eq!(s.run(&run(1, n, n), Some(1), false, n * step + 1), RunDecision::Send);
+        s.tick(n * step);
+        assert_eq!(s.request_run(&run(1, n, n), Some(1), false, n * step + 1), RunDecision::Send);
     }
     // Frozen for as long as an owner waits, and a frame is read before the beat.
     let woken = 9 * step + QUIET / 8;
-    assert_eq!(s.run(&run(1, 20, 20), Some(1), false, woken), RunDecision::Refused);
-    s.beat(woken + 1);
-    assert_eq!(s.run(&run(1, 21, 21), Some(1), false, woken + 2), RunDecision::Refused);
-    s.beat(woken + step);
-    assert_eq!(s.run(&run(1, 22, 22), Some(1), false, woken + step), RunDecision::Send);
+    assert_eq!(s.request_run(&run(1, 20, 20), Some(1), false, woken), RunDecision::Refused);
+    s.tick(woken + 1);
+    assert_eq!(s.request_run(&run(1, 21, 21), Some(1), false, woken + 2), RunDecision::Refused);
+    s.tick(woken + step);
+    assert_eq!(s.request_run(&run(1, 22, 22), Some(1), false, woken + step), RunDecision::Send);
     assert_eq!(s.under_way(), 11);
 }
 
@@ -127,7 +127,7 @@
             }
             Step::Arrive(n, again) if *n < frames.len() => {
                 let r = if *again { frames[*n].clone() } else { frames.remove(*n) };
-                if s.run(&r, Some(assignments), false, 0) == RunDecision::Send {
+                if s.request_run(&r, Some(assignments), false, 0) == RunDecision::Send {
                     let name = (r.term, r.attempt);
                     assert!(!dead.contains(&name), "sent after it was given up or fenced: {r:?}");
                     assert!(running.insert(r.position), "two at once: {r:?}");
@@ -136,7 +136,8 @@
             }
             Step::GiveUp(position) => {
                 if let Some(r) = last.remove(position)
-                    && s.run(&Run { revoked: true, ..r.clone() }, Some(assignments), false, 0) == RunDecision::Refused
+                    && s.request_run(&Run { revoked: true, ..r.clone() }, Some(assignments), false, 0)
+                        == RunDecision::Refused
                 {
                     dead.insert((r.term, r.attempt));
                 }
@@ -147,13 +148,13 @@
                 dead.extend(frames.iter().chain(last.values()).map(|r| (r.term, r.attempt)));
                 last.clear();
                 if *asks {
-                    s.holding(&Holding { partition: 3, term });
+                    s.held_deliveries(&Holding { partition: 3, term });
                 } else {
                     assignments = term;
                 }
             }
             Step::Over(position) => {
-                s.over(3, *position);
+                s.release(3, *position);
                 running.remove(position);
             }
             Step::Begin => {
