--- a/crates/front/src/lookup.rs
+++ b/crates/front/src/lookup.rs
@@ -1,8 +1,8 @@
-//! Questions of clients for the state and the body of a message.
+//! Client queries for the state and the body of a message.
 //!
-//! A state is the owner's word alone. The bytes of a message never change once they are
-//! committed, so where the owner cannot be asked any copy that holds them answers for a body
-//! (docs/design/durability.md).
+//! Only the owner of a partition answers for the state of a message. The body of a message never
+//! changes once it is committed, so any replica that holds it may return it when the owner cannot be
+//! reached (docs/design/durability.md).
 
 use crate::ingest::{FrontService, fault, stale};
 use crate::owner_calls::OwnerAddress;
@@ -16,27 +16,27 @@
 use std::time::{Duration, Instant};
 use telemetry::Throttle;
 
-/// Askers wait about as long as half the call-back bound: the part of `notifyS` within which they
-/// are answered.
-const ANSWER_PART: f64 = 0.35;
-/// How many calls to owners fit into that time.
-const OWNER_CALLS: u32 = 4;
-/// How many calls to other copies fit into it.
-const COPY_CALLS: u32 = 8;
-/// The least time between two log lines on questions that are not answered.
+/// The part of `notifyS` within which a query is answered. Clients wait for about half of the callback
+/// bound.
+const ANSWER_FRACTION: f64 = 0.35;
+/// A call to an owner times out after the time for the answer divided by this.
+const OWNER_TIMEOUT_DIVISOR: u32 = 4;
+/// A call to another replica times out after the time for the answer divided by this.
+const REPLICA_TIMEOUT_DIVISOR: u32 = 8;
+/// Minimum time between two log lines about unanswered queries.
 const LOG_PERIOD: Duration = Duration::from_secs(1);
 
-static UNANSWERED_LOG: Throttle = Throttle::new();
+static MISS_LOG: Throttle = Throttle::new();
 
-/// Why the owner of a partition does not say what it knows of a message.
+/// Why the owner of a partition did not answer a query.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LookupMiss {
-    /// The owner, or its address, is not known here.
+    /// The owner or its address is unknown to this front.
     NoOwner,
-    /// The node that is known as the owner says that it cannot speak for the partition.
+    /// The node assigned as the owner answered that it does not own the partition.
     NotOwner,
-    /// Nothing came back in time.
-    Silent,
+    /// No answer arrived in time.
+    TimedOut,
 }
 
 impl LookupMiss {
@@ -44,7 +44,7 @@
         match self {
             LookupMiss::NoOwner => "lookups_without_owner",
             LookupMiss::NotOwner => "lookups_refused_by_owner",
-            LookupMiss::Silent => "lookups_not_answered",
+            LookupMiss::TimedOut => "lookups_not_answered",
         }
     }
 }
@@ -52,25 +52,26 @@
 impl fmt::Display for LookupMiss {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            LookupMiss::NoOwner => "no owner is known",
-            LookupMiss::NotOwner => "the owner does not speak for it",
-            LookupMiss::Silent => "the owner does not answer",
+            LookupMiss::NoOwner => "owner unknown",
+            LookupMiss::NotOwner => "node does not own the partition",
+            LookupMiss::TimedOut => "owner did not answer",
         })
     }
 }
 
-/// What a client asks for.
-struct Question<'a> {
-    /// The message's name, or its id.
+/// A client's query.
+struct Query<'a> {
+    /// The name or the id of the message.
     name: &'a str,
+    /// Partition and position, if `name` is a message name.
     position: Option<(u32, u64)>,
     host: &'a str,
     tenant: &'a str,
     wants_body: bool,
 }
 
-impl Question<'_> {
-    /// The partitions that may know the message.
+impl Query<'_> {
+    /// Partitions that may hold the message.
     fn partitions(&self, view: &ClusterView) -> Vec<u32> {
         match self.position {
             Some((partition, _)) => vec![partition],
@@ -89,13 +90,13 @@
         }
     }
 
-    /// Whether whoever asks may learn of a message that was found.
+    /// Whether the client may see the message that was found.
     fn is_visible(&self, found: &Found) -> bool {
         let same = |host: &str| host.split(':').next().unwrap_or("").to_ascii_lowercase();
         (found.tenant.is_empty() || found.tenant == self.tenant) && same(&found.host) == same(self.host)
     }
 
-    /// The answer by what was found of a message that the asker may learn of.
+    /// The reply for a message that the client may see.
     fn reply(&self, found: Found) -> Reply {
         if found.withheld {
             telemetry::count("bodies_withheld");
@@ -115,24 +116,24 @@
     }
 }
 
-/// The tenant that asks for a message; empty for whoever shows no key.
-fn asking_tenant<'a>(configuration: &'a ConfigurationIndex, r: &Request) -> Result<&'a str, Refusal> {
+/// The name of the tenant that sends a query; empty without a key.
+fn querying_tenant<'a>(configuration: &'a ConfigurationIndex, request: &Request) -> Result<&'a str, Refusal> {
     if !configuration.has_tenants() {
         return Ok("");
     }
-    Ok(tenant_if_any(configuration, r)?.map_or("", |tenant| &tenant.name))
+    Ok(tenant_if_any(configuration, request)?.map_or("", |tenant| &tenant.name))
 }
 
-/// The partition and position that a message's name stands for; `None` if no message has it, as
-/// with a sign or leading zeros.
+/// Parses the name of a message into partition and position. `None` for any other spelling, such as
+/// one with a sign or leading zeros, as no message has such a name.
 fn position_of(name: &str) -> Option<(u32, u64)> {
     let (partition, position) = name.split_once('-')?;
-    let place = (partition.parse().ok()?, position.parse().ok()?);
-    (format!("{}-{}", place.0, place.1) == name).then_some(place)
+    let (partition, position) = (partition.parse().ok()?, position.parse().ok()?);
+    (format!("{partition}-{position}") == name).then_some((partition, position))
 }
 
-/// The addresses of the store nodes that hold or held a copy of a partition, but for its owner's.
-fn copy_addresses(view: &ClusterView, partition: u32) -> Vec<String> {
+/// Addresses of the store nodes, other than the owner, that hold or held a replica of a partition.
+fn replica_addresses(view: &ClusterView, partition: u32) -> Vec<String> {
     let Some(partition) = view.assignments.partitions.iter().find(|p| p.id == partition) else { return Vec::new() };
     let mut names: Vec<&String> = partition.in_sync.iter().chain(&partition.replicas).collect();
     names.sort_unstable();
@@ -142,66 +143,61 @@
 }
 
 impl FrontService {
-    /// Answers with the state of a message, or with its body.
-    pub(crate) async fn look_up(&self, name: &str, r: &Request, wants_body: bool) -> Reply {
-        let begun = Instant::now();
-        let known = self.view.borrow().clone();
-        if !self.is_fresh(&known) {
+    /// Returns the state or the body of a message.
+    pub(crate) async fn look_up(&self, name: &str, request: &Request, wants_body: bool) -> Reply {
+        let started = Instant::now();
+        let view = self.view.borrow().clone();
+        if !self.is_fresh(&view) {
             return stale();
         }
-        let tenant = match asking_tenant(&known.configuration, r) {
+        let tenant = match querying_tenant(&view.configuration, request) {
             Ok(name) => name,
             Err(refusal) => return refusal.reply(),
         };
-        let host = r.header("host").unwrap_or("");
-        let question = Question { name, position: position_of(name), host, tenant, wants_body };
-        // Whoever shows no key learns nothing of what tenants have sent.
-        let unknown = || match known.configuration.has_tenants() && tenant.is_empty() {
+        let host = request.header("host").unwrap_or("");
+        let query = Query { name, position: position_of(name), host, tenant, wants_body };
+        // Without a key, a client cannot tell whether a tenant has sent the message.
+        let not_found = || match view.configuration.has_tenants() && tenant.is_empty() {
             true => Refusal::KeyMissing.reply(),
             false => fault(404, "no such message"),
         };
-        let limit = Duration::from_secs_f64(self.settings.constraints.notify_s * ANSWER_PART);
-        let mut wanted = question.partitions(&known);
-        while begun.elapsed() < limit && *self.closing.borrow() != Closing::Ending {
-            let mut open = Vec::new();
-            for partition in wanted {
-                match self.find(&question, partition, limit).await {
-                    Ok(Some(found)) if question.is_visible(&found) => return question.reply(found),
-                    Ok(Some(_)) => return unknown(),
+        let limit = Duration::from_secs_f64(self.settings.constraints.notify_s * ANSWER_FRACTION);
+        let mut unanswered = query.partitions(&view);
+        while started.elapsed() < limit && *self.closing.borrow() != Closing::Ending {
+            let mut missed = Vec::new();
+            for partition in unanswered {
+                match self.find(&query, partition, limit).await {
+                    Ok(Some(found)) if query.is_visible(&found) => return query.reply(found),
+                    Ok(Some(_)) => return not_found(),
                     Ok(None) => {}
-                    Err(_) => open.push(partition),
+                    Err(_) => missed.push(partition),
                 }
             }
-            if open.is_empty() {
-                return unknown();
+            if missed.is_empty() {
+                return not_found();
             }
-            wanted = open;
+            unanswered = missed;
             tokio::time::sleep(self.quiet_fraction(200.0)).await;
         }
         telemetry::count("lookups_given_up");
         fault(503, "its owner is not known now").with("Retry-After", "1")
     }
 
-    /// What a partition knows of a message: by its owner's word or, for a body, by that of any
-    /// copy that has it. `None`: its owner knows of no such message.
-    async fn find(
-        &self,
-        question: &Question<'_>,
-        partition: u32,
-        limit: Duration,
-    ) -> Result<Option<Found>, LookupMiss> {
-        let miss = match self.ask_owner(question, partition, limit / OWNER_CALLS).await {
+    /// Queries a partition: its owner or, for a body that the owner does not return, any replica that
+    /// holds it. `None`: the owner knows of no such message.
+    async fn find(&self, query: &Query<'_>, partition: u32, limit: Duration) -> Result<Option<Found>, LookupMiss> {
+        let miss = match self.ask_owner(query, partition, limit / OWNER_TIMEOUT_DIVISOR).await {
             Err(miss) => miss,
             answer => return answer,
         };
-        self.note_miss(question, partition, miss);
-        if !question.wants_body {
+        self.record_miss(query, partition, miss);
+        if !query.wants_body {
             return Err(miss);
         }
-        let copies = copy_addresses(&self.view.borrow(), partition);
-        for address in copies {
-            let call = Body::Lookup(question.lookup(partition, &self.settings.region));
-            let answer = self.rpc_clients.to(&address).call(call, limit / COPY_CALLS).await;
+        let replicas = replica_addresses(&self.view.borrow(), partition);
+        for address in replicas {
+            let call = Body::Lookup(query.lookup(partition, &self.settings.region));
+            let answer = self.rpc_clients.to(&address).call(call, limit / REPLICA_TIMEOUT_DIVISOR).await;
             if let Ok(Body::Found(found)) = answer
                 && found.known
             {
@@ -212,30 +208,28 @@
         Err(miss)
     }
 
-    async fn ask_owner(
-        &self,
-        question: &Question<'_>,
-        partition: u32,
-        limit: Duration,
-    ) -> Result<Option<Found>, LookupMiss> {
+    async fn ask_owner(&self, query: &Query<'_>, partition: u32, limit: Duration) -> Result<Option<Found>, LookupMiss> {
         let address = self.owner_address(partition).ok_or(LookupMiss::NoOwner)?;
-        let call = Body::Lookup(question.lookup(partition, &self.settings.region));
+        let call = Body::Lookup(query.lookup(partition, &self.settings.region));
         match self.rpc_clients.to(&address).call(call, limit).await {
             Ok(Body::Found(found)) if found.owner => Ok(Some(found).filter(|found| found.known)),
             Ok(_) => Err(LookupMiss::NotOwner),
-            Err(_) => Err(LookupMiss::Silent),
+            Err(_) => Err(LookupMiss::TimedOut),
         }
     }
 
-    /// Counts a question that the owner of a partition did not answer, and logs some of them.
-    fn note_miss(&self, question: &Question<'_>, partition: u32, miss: LookupMiss) {
+    /// Counts a query that the owner of a partition did not answer, and logs it at a limited rate.
+    fn record_miss(&self, query: &Query<'_>, partition: u32, miss: LookupMiss) {
         telemetry::count(miss.counter());
-        if !UNANSWERED_LOG.allows(LOG_PERIOD) {
+        if !MISS_LOG.allows(LOG_PERIOD) {
             return;
         }
         let owner = OwnerAddress::of(&self.view.borrow(), partition);
         let (owner, term) = owner.map_or((String::new(), 0), |owner| (owner.name, owner.term));
-        let what = if question.wants_body { "body" } else { "state" };
-        telemetry::change!("{what} of {}: {miss}: partition {partition}, owner {owner:?}, term {term}", question.name);
+        let what = if query.wants_body { "body" } else { "state" };
+        telemetry::change!(
+            "query for the {what} of message {} not answered: {miss}; partition {partition}, owner {owner:?}, term {term}",
+            query.name
+        );
     }
 }
