--- a/crates/front/src/lookup.rs
+++ b/crates/front/src/lookup.rs
@@ -6,7 +6,7 @@
 
 use crate::ingest::{FrontService, fault, stale};
 use crate::owner_calls::OwnerAddress;
-use crate::tenancy::{Refusal, tenant_if_any};
+use crate::tenancy::{Refusal, optional_tenant};
 use agent::ClusterView;
 use config::ConfigurationIndex;
 use http1::{Closing, Reply, Request};
@@ -121,7 +121,7 @@
     if !configuration.has_tenants() {
         return Ok("");
     }
-    Ok(tenant_if_any(configuration, request)?.map_or("", |tenant| &tenant.name))
+    Ok(optional_tenant(configuration, request)?.map_or("", |tenant| &tenant.name))
 }
 
 /// Parses the name of a message into partition and position. `None` for any other spelling, such as
--- a/crates/front/src/tenancy.rs
+++ b/crates/front/src/tenancy.rs
@@ -1,5 +1,5 @@
-//! Who sends a request: the tenant that holds the key in `Authorization`, and the key that
-//! makes its tries one operation. Decides from headers and configuration alone.
+//! Authentication of requests: the tenant that holds the key in `Authorization`, and the operation key
+//! that identifies retries of one operation. Depends on headers and the configuration alone.
 
 use config::{ConfigurationIndex, Tenant};
 use http1::{Reply, Request};
@@ -7,25 +7,25 @@
 use sha2::{Digest, Sha256};
 use std::fmt;
 
-/// The longest `X-Operation-Key`, in bytes.
+/// Maximum length of `X-Operation-Key`, in bytes.
 pub const OPERATION_KEY_LIMIT: usize = 128;
 
-/// Why a request is refused before anything is taken of it.
+/// Why the authentication or operation headers of a request are rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// There is no `Authorization`.
+    /// `Authorization` is missing.
     KeyMissing,
-    /// It is not `Bearer` and one key.
+    /// `Authorization` is not `Bearer` followed by one key.
     KeyMalformed,
     /// No tenant holds the key.
     KeyUnknown,
-    /// There is more than one `Authorization`.
+    /// `Authorization` occurs more than once.
     KeyRepeated,
     /// `X-Operation-Key` is missing or empty.
     OperationMissing,
-    /// It is longer than `OPERATION_KEY_LIMIT`.
+    /// `X-Operation-Key` is longer than `OPERATION_KEY_LIMIT`.
     OperationTooLong,
-    /// There is more than one.
+    /// `X-Operation-Key` occurs more than once.
     OperationRepeated,
 }
 
@@ -46,26 +46,26 @@
 impl std::error::Error for Refusal {}
 
 impl Refusal {
-    /// The status by which a client is told.
+    /// HTTP status of the reply.
     pub fn status(self) -> u16 {
-        if self.wants_key() { 401 } else { 400 }
+        if self.lacks_key() { 401 } else { 400 }
     }
 
-    /// Whether one well-formed known key would have helped.
-    fn wants_key(self) -> bool {
+    /// Whether the request lacks a valid key.
+    fn lacks_key(self) -> bool {
         matches!(self, Refusal::KeyMissing | Refusal::KeyMalformed | Refusal::KeyUnknown)
     }
 
-    /// The answer to a client.
+    /// The reply to the client.
     pub fn reply(self) -> Reply {
-        telemetry::count(if self.wants_key() { "refused_key" } else { "refused_header" });
+        telemetry::count(if self.lacks_key() { "refused_key" } else { "refused_header" });
         let body = serde_json::json!({ "fault": self.to_string() }).to_string();
         let reply = Reply::json(self.status(), body);
-        if self.wants_key() { reply.with("WWW-Authenticate", "Bearer") } else { reply }
+        if self.lacks_key() { reply.with("WWW-Authenticate", "Bearer") } else { reply }
     }
 }
 
-/// The value of a header that may stand once; `None` where it does not stand at all.
+/// The value of a header that may occur at most once; `None` if it is absent.
 fn single_header<'a>(request: &'a Request, name: &str, repeated: Refusal) -> Result<Option<&'a str>, Refusal> {
     let mut values = request.headers.iter().filter(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str());
     let first = values.next();
@@ -75,7 +75,7 @@
     Ok(first)
 }
 
-/// The key that a request carries as `Bearer KEY`. The scheme's case does not count.
+/// The key that a request carries as `Bearer KEY`. The scheme is case-insensitive.
 fn bearer_key(request: &Request) -> Result<Option<&str>, Refusal> {
     let Some(value) = single_header(request, "authorization", Refusal::KeyRepeated)? else { return Ok(None) };
     let Some((scheme, key)) = value.split_once(' ') else { return Err(Refusal::KeyMalformed) };
@@ -86,33 +86,33 @@
     Ok(Some(key))
 }
 
-/// The tenant whose key a request carries; `None` where it carries none.
+/// The tenant whose key a request carries; `None` if it carries none.
 ///
 /// # Errors
-/// The key is malformed, repeated or nobody's.
-pub fn tenant_if_any<'a>(config: &'a ConfigurationIndex, request: &Request) -> Result<Option<&'a Tenant>, Refusal> {
+/// The key is malformed, repeated or unknown.
+pub fn optional_tenant<'a>(config: &'a ConfigurationIndex, request: &Request) -> Result<Option<&'a Tenant>, Refusal> {
     match bearer_key(request)? {
         Some(key) => config.tenant_of(key).map(Some).ok_or(Refusal::KeyUnknown),
         None => Ok(None),
     }
 }
 
-/// The name of the tenant that a request on a route belongs to; empty where the
-/// configuration has no tenants or the route is `unkeyed`.
+/// The name of the tenant that a request on a route belongs to; empty if the configuration has no
+/// tenants or the route is `unkeyed`.
 ///
 /// # Errors
-/// The key is missing, malformed, repeated or nobody's.
+/// The key is missing, malformed, repeated or unknown.
 pub fn tenant_name<'a>(config: &'a ConfigurationIndex, unkeyed: bool, request: &Request) -> Result<&'a str, Refusal> {
     if unkeyed || !config.has_tenants() {
         return Ok("");
     }
-    tenant_if_any(config, request)?.map(|tenant| tenant.name.as_str()).ok_or(Refusal::KeyMissing)
+    optional_tenant(config, request)?.map(|tenant| tenant.name.as_str()).ok_or(Refusal::KeyMissing)
 }
 
 /// The operation key of a request.
 ///
 /// # Errors
-/// It is missing, empty, too long or repeated.
+/// The key is missing, empty, too long or repeated.
 pub fn operation_key(request: &Request) -> Result<&str, Refusal> {
     match single_header(request, "x-operation-key", Refusal::OperationRepeated)? {
         None | Some("") => Err(Refusal::OperationMissing),
@@ -121,8 +121,8 @@
     }
 }
 
-/// What stands for an operation of a tenant: the same size whatever the key, and another one
-/// for each tenant.
+/// Identifies an operation of a tenant. The id has a fixed size whatever the key, and the same key of two
+/// tenants gives two ids.
 pub fn operation_id(tenant: &str, key: &str) -> OperationId {
     let mut hasher = Sha256::new();
     hasher.update((tenant.len() as u64).to_le_bytes());
--- a/crates/front/tests/tenancy.rs
+++ b/crates/front/tests/tenancy.rs
@@ -1,7 +1,7 @@
 //! Whose a request is, and which operation it belongs to.
 
 use config::{Configuration, ConfigurationIndex};
-use front::tenancy::{OPERATION_KEY_LIMIT, Refusal, operation_id, operation_key, tenant_if_any, tenant_name};
+use front::tenancy::{OPERATION_KEY_LIMIT, Refusal, operation_id, operation_key, optional_tenant, tenant_name};
 use http1::Request;
 
 const CONFIG: &str = r#"{"revision": 1, "channels": [], "plants": [], "limits": {}, "tenants": [
@@ -68,9 +68,9 @@
 #[test]
 fn whoever_asks_without_a_key_is_nobodys_tenant() {
     let config = index(CONFIG);
-    assert!(tenant_if_any(&config, &request(&[])).is_ok_and(|tenant| tenant.is_none()));
+    assert!(optional_tenant(&config, &request(&[])).is_ok_and(|tenant| tenant.is_none()));
     let asked = request(&[("Authorization", "Bearer k9")]);
-    assert_eq!(tenant_if_any(&config, &asked).err(), Some(Refusal::KeyUnknown));
+    assert_eq!(optional_tenant(&config, &asked).err(), Some(Refusal::KeyUnknown));
 }
 
 #[test]
