--- a/crates/front/src/accept.rs
+++ b/crates/front/src/accept.rs
@@ -167,7 +167,7 @@
             if steps > 0 && walk.wanted == Some(walk.partition) {
                 return Placement::Resolved { partition: walk.partition, generation: walk.generation };
             }
-            let remaining = walk.submission.left(false);
+            let remaining = walk.submission.remaining(false);
             if remaining.is_zero() || calls.is_ending() || steps >= MAX_PLACEMENT_STEPS {
                 break;
             }
@@ -179,7 +179,7 @@
                 generation: walk.generation,
                 hold_ms: walk.submission.hold_ms,
             };
-            match calls.ask(walk.partition, Body::Place(request), remaining, false).await {
+            match calls.call(walk.partition, Body::Place(request), remaining, false).await {
                 OwnerAnswer::NoStoreAnswers => {
                     telemetry::count("refused_no_store");
                     break;
@@ -212,7 +212,7 @@
         let mut is_unclear = false;
         let mut backoff = self.backoff();
         loop {
-            let remaining = submission.left(is_unclear);
+            let remaining = submission.remaining(is_unclear);
             if remaining.is_zero() || calls.is_ending() {
                 break;
             }
@@ -225,10 +225,10 @@
                 partition,
                 item: submission.item.clone(),
                 revision: submission.view.configuration.revision,
-                delay_ms: submission.delay_left_ms(),
+                delay_ms: submission.remaining_delay_ms(),
                 generations,
             };
-            let answer = calls.ask(partition, Body::Accept(accept), remaining, is_unclear).await;
+            let answer = calls.call(partition, Body::Accept(accept), remaining, is_unclear).await;
             if let Some(cause) = answer.retry_counter() {
                 telemetry::count(cause);
             }
--- a/crates/front/src/owner_calls.rs
+++ b/crates/front/src/owner_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the owner of a partition on behalf of one request, wherever the owner is by then.
+//! Calls to the current owner of a partition on behalf of one request.
 
 use crate::ingest::FrontService;
 use agent::ClusterView;
@@ -8,22 +8,22 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// The part of `quietMs` after which an owner that answers nothing counts as silent. What
-/// was written to it before that is unclear, so it is as short as a commit across regions
-/// on a slow disk allows.
-const OWNER_SILENCE_PART: f64 = 40.0;
+/// An owner that has answered nothing for `quietMs` divided by this counts as unresponsive. The outcome
+/// of calls sent to it before that is unclear, so the time is as short as a commit across regions on a
+/// slow disk allows.
+const OWNER_TIMEOUT_DIVISOR: f64 = 40.0;
 
-/// Where the owner of a partition takes calls.
+/// The owner of a partition and the address of its RPC listener.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct OwnerAddress {
     pub(crate) term: u64,
     pub(crate) name: String,
-    /// Its inner address.
+    /// RPC address.
     pub(crate) inner: String,
 }
 
 impl OwnerAddress {
-    /// The owner of a partition as a view has it; `None` while it is not known.
+    /// The owner of a partition according to a view; `None` while it is unknown.
     pub(crate) fn of(view: &ClusterView, partition: u32) -> Option<OwnerAddress> {
         let partition = view.assignments.partitions.iter().find(|p| p.id == partition)?;
         let node = view.node(&partition.owner, "store")?;
@@ -31,21 +31,21 @@
     }
 }
 
-/// What an owner said of a call, or why it said nothing.
+/// The owner's answer to a call, or why there is none.
 #[derive(Debug)]
 pub(crate) enum OwnerAnswer {
-    /// Its word, with an outcome that is not `Unclear`.
+    /// The owner answered with an outcome other than `Unclear`.
     Answered(AcceptOutcome, Accepted),
-    /// Nothing was done.
+    /// The call was not executed.
     NotSent,
-    /// It may have done what it was asked.
+    /// The call may have been executed.
     Unclear,
-    /// None of the store nodes answers, so nobody is there to take over.
+    /// No store node answers, so none can take over the partition.
     NoStoreAnswers,
 }
 
 impl OwnerAnswer {
-    /// The counter of what is tried again for this; `None` for an answer that ends the request.
+    /// The counter of retries with this cause; `None` for causes without a counter.
     pub(crate) fn retry_counter(&self) -> Option<&'static str> {
         match self {
             OwnerAnswer::Answered(AcceptOutcome::Elsewhere, _) => Some("accepts_again_elsewhere"),
@@ -56,12 +56,12 @@
     }
 }
 
-/// The calls for one request.
+/// Calls to owners for one client request.
 pub(crate) struct OwnerCalls<'a> {
     front: &'a FrontService,
     view: watch::Receiver<ClusterView>,
     closing: watch::Receiver<Closing>,
-    /// The owner that the last node asked has named.
+    /// The owner named by the node that was called last.
     hint: Option<String>,
 }
 
@@ -70,28 +70,35 @@
         OwnerCalls { front, view: front.view.subscribe(), closing: front.closing.subscribe(), hint: None }
     }
 
-    /// Whether the process is about to end: what is known by now is the answer.
+    /// Whether the process is about to exit, so that the request must be answered at once.
     pub(crate) fn is_ending(&mut self) -> bool {
         *self.closing.borrow_and_update() == Closing::Ending
     }
 
-    /// The newest view.
+    /// Returns the newest view.
     pub(crate) fn view(&mut self) -> ClusterView {
         self.view.borrow_and_update().clone()
     }
 
-    /// Whether a node that was asked has named the owner to ask next.
+    /// Whether the last answer named the owner to call next.
     pub(crate) fn has_hint(&self) -> bool {
         self.hint.is_some()
     }
 
-    /// Another partition is asked from now on.
+    /// Discards the hint, for calls to another partition.
     pub(crate) fn forget_hint(&mut self) {
         self.hint = None;
     }
 
-    /// Asks the owner of a partition. `is_unclear`: an earlier call may have been carried out.
-    pub(crate) async fn ask(&mut self, partition: u32, body: Body, left: Duration, is_unclear: bool) -> OwnerAnswer {
+    /// Calls the owner of a partition. `is_unclear` says that an earlier call of this request may have
+    /// been executed.
+    pub(crate) async fn call(
+        &mut self,
+        partition: u32,
+        body: Body,
+        remaining: Duration,
+        is_unclear: bool,
+    ) -> OwnerAnswer {
         let view = self.view();
         let owner = OwnerAddress::of(&view, partition);
         let hinted = self.hint.take().and_then(|name| view.node(&name, "store").map(|node| node.inner.clone()));
@@ -99,29 +106,30 @@
             return OwnerAnswer::NotSent;
         };
         let client = self.front.rpc_clients.to(&address);
-        if client.stuck(self.front.owner_silence()) {
-            // Nothing is sent to where nothing is answered: it would be unclear what came of it.
+        if client.stuck(self.front.owner_timeout()) {
+            // No call is sent to an unresponsive owner, since its outcome would be unclear.
             if !is_unclear && self.front.no_store_answers(&view) {
                 return OwnerAnswer::NoStoreAnswers;
             }
             tokio::time::sleep(self.front.quiet_fraction(100.0)).await;
             return OwnerAnswer::NotSent;
         }
-        let moved = self.view.wait_for(|view| OwnerAddress::of(view, partition) != owner);
-        // An owner that is well answers within that.
-        let patience = self.front.quiet_fraction(100.0);
+        let owner_changed = self.view.wait_for(|view| OwnerAddress::of(view, partition) != owner);
+        // A healthy owner answers within this time.
+        let grace = self.front.quiet_fraction(100.0);
         let ending = async {
             let _ = self.closing.wait_for(|closing| *closing == Closing::Ending).await;
-            tokio::time::sleep(patience).await;
+            tokio::time::sleep(grace).await;
         };
         let answer = tokio::select! {
-            answer = client.call(body, left) => answer,
-            _ = moved => Err(ExecutionOutcome::MayHaveRun),
+            answer = client.call(body, remaining) => answer,
+            _ = owner_changed => Err(ExecutionOutcome::MayHaveRun),
             _ = ending => Err(ExecutionOutcome::MayHaveRun),
         };
         self.answer_of(answer)
     }
 
+    /// Maps the result of a call to an answer, and remembers the owner that it names.
     fn answer_of(&mut self, answer: Result<Body, ExecutionOutcome>) -> OwnerAnswer {
         match answer {
             Ok(Body::Accepted(accepted)) => match AcceptOutcome::try_from(accepted.outcome) {
@@ -140,14 +148,14 @@
 }
 
 impl FrontService {
-    /// An owner that has answered nothing for so long is sent nothing new.
-    fn owner_silence(&self) -> Duration {
-        self.quiet_fraction(OWNER_SILENCE_PART)
+    /// No new calls are sent to an owner that has answered nothing for this long.
+    fn owner_timeout(&self) -> Duration {
+        self.quiet_fraction(OWNER_TIMEOUT_DIVISOR)
     }
 
-    /// Whether calls to each store node go unanswered.
+    /// Whether all store nodes are unresponsive.
     fn no_store_answers(&self, view: &ClusterView) -> bool {
-        let mut stores = view.membership.nodes.iter().filter(|n| n.role == "store").peekable();
-        stores.peek().is_some() && stores.all(|n| self.rpc_clients.to(&n.inner).stuck(self.owner_silence()))
+        let mut stores = view.membership.nodes.iter().filter(|node| node.role == "store").peekable();
+        stores.peek().is_some() && stores.all(|node| self.rpc_clients.to(&node.inner).stuck(self.owner_timeout()))
     }
 }
--- a/crates/front/src/submission.rs
+++ b/crates/front/src/submission.rs
@@ -1,4 +1,4 @@
-//! A client's request to take a message in, checked and read by one configuration.
+//! A client's request to accept a message, parsed and validated against one configuration.
 
 use crate::callback::{CallbackError, CallbackUrl};
 use crate::ingest::{FrontService, fault, stale};
@@ -9,40 +9,41 @@
 use rpc::messages::{Item, OperationId};
 use std::time::{Duration, Instant};
 
-/// The longest attempt id, in bytes.
-const ID_LIMIT: usize = 128;
-/// Times in headers are below this many milliseconds.
-const TIME_LIMIT_MS: f64 = 1e12;
-/// The part of the client's own time after which it is answered.
-const CLIENT_TIME_PART: f64 = 0.8;
-/// A message of which nothing was written is given up on after so many times its aim.
-const BUDGET_AIMS: f64 = 5.0;
-/// One that may have been written, after so many: the next owner knows of it, or takes it.
-const UNCLEAR_BUDGET_AIMS: f64 = 15.0;
+/// Maximum length of an attempt id, in bytes.
+const MAX_ID_BYTES: usize = 128;
+/// Times in headers must be less than this, in milliseconds.
+const HEADER_TIME_LIMIT_MS: f64 = 1e12;
+/// The client is answered within this fraction of its own deadline.
+const CLIENT_DEADLINE_FRACTION: f64 = 0.8;
+/// Time budget of a message of which nothing was written, in multiples of its target latency.
+const BUDGET_TARGETS: f64 = 5.0;
+/// Time budget of a message that may have been written. It is longer, because the next owner either
+/// knows the message or accepts it.
+const UNCLEAR_BUDGET_TARGETS: f64 = 15.0;
 
-/// A message as a client asks to have it taken in.
+/// A message that a client submits.
 pub(crate) struct Submission {
-    pub(crate) begun: Instant,
-    /// What the front knew as the request came.
+    pub(crate) started: Instant,
+    /// The view of the front when the request arrived.
     pub(crate) view: ClusterView,
     pub(crate) item: Item,
     pub(crate) rank: u32,
-    /// From the request until it is due, in milliseconds.
+    /// Time from the request until the message is due, in milliseconds.
     pub(crate) delay_ms: u64,
-    /// The regions that it is bound to.
+    /// Regions that the message is bound to.
     pub(crate) homes: Homes,
-    /// How long it may be under way once it is taken, in milliseconds.
+    /// How long the message may be pending once it is accepted, in milliseconds.
     pub(crate) hold_ms: u64,
-    /// How long it is tried while nothing was written.
+    /// Time budget while nothing was written.
     pub(crate) budget: Duration,
-    /// How long it is tried once it may have been written.
+    /// Time budget once the message may have been written.
     pub(crate) unclear_budget: Duration,
-    /// Whether its partition stays whatever is known of owners.
+    /// Whether the partition does not depend on where the owners are.
     pub(crate) is_place_fixed: bool,
 }
 
 impl Submission {
-    /// The partition that it belongs to by what is known now.
+    /// The partition that the message belongs to according to `view`.
     pub(crate) fn partition(&self, view: &ClusterView, zone: &str) -> Option<u32> {
         let configuration = &self.view.configuration;
         let route = configuration.route_named(&self.item.route)?;
@@ -55,35 +56,35 @@
         partition_of(view, configuration, route, &keys, zone)
     }
 
-    /// What is left of its time.
-    pub(crate) fn left(&self, is_unclear: bool) -> Duration {
-        let whole = if is_unclear { self.unclear_budget } else { self.budget };
-        whole.saturating_sub(self.begun.elapsed())
+    /// The rest of the time budget.
+    pub(crate) fn remaining(&self, is_unclear: bool) -> Duration {
+        let budget = if is_unclear { self.unclear_budget } else { self.budget };
+        budget.saturating_sub(self.started.elapsed())
     }
 
-    /// What is left until it is due, in milliseconds.
-    pub(crate) fn delay_left_ms(&self) -> u64 {
-        self.delay_ms.saturating_sub(self.begun.elapsed().as_millis() as u64)
+    /// Time left until the message is due, in milliseconds.
+    pub(crate) fn remaining_delay_ms(&self) -> u64 {
+        self.delay_ms.saturating_sub(self.started.elapsed().as_millis() as u64)
     }
 }
 
-/// A time in milliseconds that a header gives; `None` without the header.
+/// Parses a header that holds a time in milliseconds; `None` without the header.
 ///
 /// # Errors
-/// 400: the value is no time.
+/// Returns a 400 reply if the value is not a time.
 fn time_header(request: &Request, name: &str) -> Result<Option<f64>, Box<Reply>> {
     let Some(text) = request.header(name) else { return Ok(None) };
-    let time = http1::milliseconds(text, TIME_LIMIT_MS);
+    let time = http1::milliseconds(text, HEADER_TIME_LIMIT_MS);
     time.map(Some).ok_or_else(|| fault(400, &format!("{name} is not a time")).into())
 }
 
 impl FrontService {
-    /// Reads a request to take a message in.
+    /// Parses and validates a request to accept a message.
     ///
     /// # Errors
-    /// The answer that refuses it.
+    /// Returns the reply that rejects the request.
     pub(crate) fn submission_of(&self, request: &Request) -> Result<Submission, Box<Reply>> {
-        let begun = Instant::now();
+        let started = Instant::now();
         let view = self.view.borrow().clone();
         if view.configuration.revision == 0 {
             return Err(fault(503, "no configuration yet").with("Retry-After", "1").into());
@@ -99,7 +100,7 @@
             return Err(fault(403, "the route and the tenant have no region in common").into());
         }
         let operation = self.operation_of(tenant, request).map_err(|refusal| refusal.reply())?;
-        let Some(id) = request.header("x-attempt-id").filter(|id| !id.is_empty() && id.len() <= ID_LIMIT) else {
+        let Some(id) = request.header("x-attempt-id").filter(|id| !id.is_empty() && id.len() <= MAX_ID_BYTES) else {
             return Err(fault(400, "X-Attempt-Id is missing").into());
         };
         let deadline_ms = time_header(request, "X-Deadline-Ms")?;
@@ -122,51 +123,51 @@
             tenant: tenant.to_owned(),
             operation,
         };
-        let aim_ms = match route.target_latency_ms > 0.0 {
+        let target_ms = match route.target_latency_ms > 0.0 {
             true => route.target_latency_ms,
             false => self.settings.constraints.quiet_ms / 20.0,
         };
-        let client_ms = deadline_ms.unwrap_or(f64::MAX) * CLIENT_TIME_PART;
-        let within = |aims: f64| Duration::from_millis((aim_ms * aims).min(client_ms) as u64);
+        let client_ms = deadline_ms.unwrap_or(f64::MAX) * CLIENT_DEADLINE_FRACTION;
+        let budget_of = |targets: f64| Duration::from_millis((target_ms * targets).min(client_ms) as u64);
         let is_place_fixed =
             operation.is_some() || !item.order_key.is_empty() || view.configuration.has_metered_service(route);
         Ok(Submission {
-            begun,
+            started,
             item,
             rank: route.rank,
             homes,
             hold_ms: delay_ms + (route.retain_s * 1000.0) as u64,
             delay_ms,
-            budget: within(BUDGET_AIMS),
-            unclear_budget: within(UNCLEAR_BUDGET_AIMS),
+            budget: budget_of(BUDGET_TARGETS),
+            unclear_budget: budget_of(UNCLEAR_BUDGET_TARGETS),
             is_place_fixed,
             view,
         })
     }
 
-    /// The URL that is owed a call-back; empty where none is.
-    fn callback_of(&self, notifies: bool, known: &ClusterView, r: &Request) -> Result<String, CallbackError> {
-        let Some(text) = r.header("x-notify-url").filter(|text| notifies && !text.is_empty()) else {
+    /// The URL to call back; empty if the route sends no callbacks or the client asked for none.
+    fn callback_of(&self, notifies: bool, view: &ClusterView, request: &Request) -> Result<String, CallbackError> {
+        let Some(text) = request.header("x-notify-url").filter(|text| notifies && !text.is_empty()) else {
             return Ok(String::new());
         };
         let url: CallbackUrl = text.parse()?;
-        url.ensure_external(&self.settings, &known.membership)?;
+        url.ensure_external(&self.settings, &view.membership)?;
         Ok(text.to_owned())
     }
 
-    /// The operation that a request is a try at; `None` where operations have no keys.
-    fn operation_of(&self, tenant: &str, r: &Request) -> Result<Option<OperationId>, Refusal> {
+    /// The operation that a request belongs to; `None` if the deployment has no operation keys.
+    fn operation_of(&self, tenant: &str, request: &Request) -> Result<Option<OperationId>, Refusal> {
         if self.settings.constraints.key_window_s <= 0.0 {
             return Ok(None);
         }
-        operation_key(r).map(|key| Some(operation_id(tenant, key)))
+        operation_key(request).map(|key| Some(operation_id(tenant, key)))
     }
 }
 
-/// The route for messages that a request is on.
+/// The deferred route that matches a request.
 ///
 /// # Errors
-/// 404: there is none.
+/// Returns a 404 reply if there is none.
 fn deferred_route<'a>(view: &'a ClusterView, request: &Request) -> Result<&'a Route, Box<Reply>> {
     let host = request.header("host").unwrap_or("");
     let path = request.path.split('?').next().unwrap_or("");
