--- a/crates/front/tests/common/mod.rs
+++ b/crates/front/tests/common/mod.rs
@@ -1,16 +1,15 @@
-//! What the front's tests share.
+//! Fixtures shared by the front's tests.
 
 use agent::ClusterView;
 use rpc::messages::*;
 
-/// A view with six partitions, whose owners `s1` and `s2` in zones `x` and `y` are both at one
-/// address.
-pub fn view(owner: &str, config: &str) -> ClusterView {
+/// A view with six partitions. Their owners, `s1` in zone `x` and `s2` in zone `y`, share one address.
+pub fn view(address: &str, config: &str) -> ClusterView {
     let node = |name: &str, zone: &str| Node {
         name: name.into(),
         role: "store".into(),
         zone: zone.into(),
-        inner: owner.into(),
+        inner: address.into(),
         ..Node::default()
     };
     let partitions = (0..6).map(|id| Partition {
