--- a/crates/front/tests/callback.rs
+++ b/crates/front/tests/callback.rs
@@ -1,4 +1,4 @@
-//! Where call-backs may go.
+//! Which URLs callbacks may be sent to.
 
 use config::Settings;
 use front::{CallbackError, CallbackUrl};
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_url_is_read_as_its_parts() {
+fn a_url_is_parsed_into_its_parts() {
     let url = checked("http://10.20.0.4:8080/done?m=1").expect("a receiver");
     assert_eq!((url.authority.as_str(), url.host.as_str(), url.port), ("10.20.0.4:8080", "10.20.0.4", 8080));
     assert_eq!(url.target, "/done?m=1");
@@ -37,8 +37,8 @@
 }
 
 #[test]
-fn what_is_no_absolute_http_url_is_refused_with_the_reason() {
-    for (text, why) in [
+fn a_url_that_is_not_absolute_http_is_rejected_with_the_reason() {
+    for (text, error) in [
         ("file:///etc/passwd", CallbackError::Unreadable),
         ("http://10.20.0.4:8080/a b", CallbackError::Unreadable),
         ("http://10.20.0.4:8080/a\r\nX-Attempt-Id: 1", CallbackError::Unreadable),
@@ -49,14 +49,14 @@
         ("http://10.20.0.4:0/done", CallbackError::Port),
         ("http://10.20.0.4:/done", CallbackError::Port),
     ] {
-        assert_eq!(text.parse::<CallbackUrl>(), Err(why), "{text}");
+        assert_eq!(text.parse::<CallbackUrl>(), Err(error), "{text}");
     }
     assert!("http://10.20.0.4:70000/done".parse::<CallbackUrl>().is_err());
     assert!("http:///done".parse::<CallbackUrl>().is_err());
 }
 
 #[test]
-fn nothing_of_this_system_is_called_back() {
+fn addresses_of_this_system_are_rejected() {
     for text in [
         "http://10.1.0.7:8064/evacuate/z/start",
         "http://10.1.0.7:7781/",
@@ -71,14 +71,15 @@
     ] {
         assert_eq!(checked(text), Err(CallbackError::InternalAddress), "{text}");
     }
-    // A receiver may stand on a machine of the system, and use its ports elsewhere.
+    // A receiver may run on a machine of this system under another port, or on another machine under the
+    // same ports.
     for text in ["http://10.1.0.7:9000/done", "http://10.20.0.4:8064/done", "http://127.0.0.1:9000/done"] {
         assert!(checked(text).is_ok(), "{text}");
     }
 }
 
 #[tokio::test]
-async fn a_machine_that_joined_later_is_not_called_back_either() {
+async fn an_address_of_a_machine_that_joined_later_is_rejected_by_resolve() {
     let url: CallbackUrl = "http://10.1.0.7:8064/evacuate/z/start".parse().expect("a URL");
     assert_eq!(url.resolve(&settings(), &Membership::default()).await, Ok("10.1.0.7:8064".to_owned()));
     assert_eq!(url.resolve(&settings(), &membership()).await, Err(CallbackError::InternalAddress));
@@ -87,9 +88,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 4000, ..ProptestConfig::default() })]
 
-    /// What is put on the wire is the URL's own host, port and path, and nothing besides.
+    /// Only the URL's own host, port and path are put on the wire.
     #[test]
-    fn no_accepted_url_says_more_on_the_wire_than_its_host_port_and_path(
+    fn an_accepted_url_puts_only_its_host_port_and_path_on_the_wire(
         text in "http://[ -~\\r\\n\\t\u{e9}]{0,12}(:[0-9]{0,5})?(/[ -~\\r\\n\\t\u{0}]{0,16})?",
     ) {
         if let Ok(url) = text.parse::<CallbackUrl>() {
