--- a/crates/front/tests/homes.rs
+++ b/crates/front/tests/homes.rs
@@ -1,4 +1,4 @@
-//! What a front outside a message's homes does for those who ask for it there.
+//! Queries to a front outside of the home regions of a message.
 
 mod common;
 
@@ -14,7 +14,7 @@
   {"name": "r", "host": "h", "prefix": "/a/", "mode": "deferred", "cutoffMs": 100, "setpointMs": 300, "plant": "p", "tries": 3, "retainS": 9, "domains": ["home"]}],
   "plants": [{"name": "p"}], "limits": {}, "tenants": null}"#;
 
-/// A front in a region, beside an owner that lets a body go to the region `home` only.
+/// A front in a region, with an owner that returns bodies to the region `home` only.
 async fn front_in(region: &str) -> Arc<FrontService> {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -35,20 +35,20 @@
     front
 }
 
-async fn ask(front: &Arc<FrontService>, path: &str) -> Reply {
+async fn get(front: &Arc<FrontService>, path: &str) -> Reply {
     let headers = vec![("Host".to_owned(), "h".to_owned())];
     let request = Request { method: "GET".into(), path: path.into(), headers, ..Request::default() };
     front.clone().answer(request).await
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_body_is_given_in_its_homes_and_a_state_everywhere() {
+async fn a_body_is_returned_only_in_its_home_region_and_a_state_everywhere() {
     let home = front_in("home").await;
-    let reply = ask(&home, "/message-body/2-7").await;
+    let reply = get(&home, "/message-body/2-7").await;
     assert_eq!((reply.status, reply.body.as_ref()), (200, b"bytes".as_ref()));
     let away = front_in("away").await;
-    let reply = ask(&away, "/message-body/2-7").await;
-    let tells_when = reply.headers.iter().any(|(name, _)| *name == "Retry-After");
-    assert_eq!((reply.status, tells_when), (503, true), "neither given nor said to be unknown");
-    assert_eq!(ask(&away, "/message/2-7").await.status, 200);
+    let reply = get(&away, "/message-body/2-7").await;
+    let has_retry_after = reply.headers.iter().any(|(name, _)| *name == "Retry-After");
+    assert_eq!((reply.status, has_retry_after), (503, true), "the body is neither returned nor reported as unknown");
+    assert_eq!(get(&away, "/message/2-7").await.status, 200);
 }
