--- a/crates/front/tests/lookups.rs
+++ b/crates/front/tests/lookups.rs
@@ -1,4 +1,4 @@
-//! Whom a front asks for the state and the body of a message.
+//! Which nodes a front queries for the state and the body of a message.
 
 mod common;
 
@@ -14,7 +14,7 @@
   {"name": "r", "host": "h", "prefix": "/a/", "mode": "deferred", "cutoffMs": 100, "setpointMs": 300, "plant": "p", "tries": 3, "retainS": 9}],
   "plants": [{"name": "p"}], "limits": {}}"#;
 
-/// A store node that answers look-ups so; its address.
+/// Starts a store node that answers lookups with `found`, and returns its address.
 async fn store(found: Found) -> String {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
@@ -27,14 +27,14 @@
     address
 }
 
-/// A front that knows one partition: its owner and another copy, at these addresses.
-fn front_of(owner: &str, copy: &str) -> Arc<FrontService> {
+/// A front that knows one partition, with its owner and another replica at these addresses.
+fn front_of(owner: &str, replica: &str) -> Arc<FrontService> {
     let mut settings = Settings { zone: "x".into(), ..Settings::default() };
     settings.constraints.quiet_ms = 4000.0;
     settings.constraints.notify_s = 5.0;
     let front = FrontService::new(settings);
     let mut view = common::view(owner, CONFIG);
-    let nodes = [("s1", owner), ("s2", copy)].map(|(name, inner)| Node {
+    let nodes = [("s1", owner), ("s2", replica)].map(|(name, inner)| Node {
         name: name.into(),
         role: "store".into(),
         inner: inner.into(),
@@ -58,46 +58,46 @@
     front
 }
 
-fn copy_of(state: &str, host: &str) -> Found {
+fn found(state: &str, host: &str) -> Found {
     Found { known: true, state: state.into(), host: host.into(), body: "bytes".into(), ..Found::default() }
 }
 
-async fn ask(front: &Arc<FrontService>, path: &str) -> Reply {
+async fn get(front: &Arc<FrontService>, path: &str) -> Reply {
     let headers = vec![("Host".to_owned(), "h".to_owned())];
     let request = Request { method: "GET".into(), path: path.into(), headers, ..Request::default() };
     front.clone().answer(request).await
 }
 
-/// Guards against LOST: a body did not come back while its partition had no owner, though another
-/// machine held it.
+/// Guards against a lost body (LOST): while its partition had no owner, a body was not returned although
+/// another machine held it.
 #[tokio::test(flavor = "current_thread")]
 async fn a_body_comes_from_any_copy_and_a_state_from_the_owner_alone() {
-    let refusing = store(Found::default()).await;
-    let copy = store(copy_of("pending", "h")).await;
-    for owner in [refusing, "127.0.0.1:1".to_owned()] {
-        let front = front_of(&owner, &copy);
-        let reply = ask(&front, "/message-body/2-7").await;
+    let not_owner = store(Found::default()).await;
+    let replica = store(found("pending", "h")).await;
+    for owner in [not_owner, "127.0.0.1:1".to_owned()] {
+        let front = front_of(&owner, &replica);
+        let reply = get(&front, "/message-body/2-7").await;
         assert_eq!((reply.status, reply.body.as_ref()), (200, b"bytes".as_ref()));
-        assert_eq!(ask(&front, "/message/2-7").await.status, 503, "a copy may be behind");
+        assert_eq!(get(&front, "/message/2-7").await.status, 503, "a replica may lag behind");
     }
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_copy_gives_no_body_to_another_host_and_none_that_is_settled() {
-    let refusing = store(Found::default()).await;
-    let foreign = store(copy_of("pending", "other")).await;
-    assert_eq!(ask(&front_of(&refusing, &foreign), "/message-body/2-7").await.status, 404);
-    let settled = store(copy_of("settled", "h")).await;
-    assert_eq!(ask(&front_of(&refusing, &settled), "/message-body/2-7").await.status, 404);
-    let ignorant = store(Found::default()).await;
-    let reply = ask(&front_of(&refusing, &ignorant), "/message-body/2-7").await;
-    assert_eq!(reply.status, 503, "a copy does not say that there is no such message");
+async fn a_replica_returns_no_body_to_another_host_and_none_of_a_settled_message() {
+    let not_owner = store(Found::default()).await;
+    let other_host = store(found("pending", "other")).await;
+    assert_eq!(get(&front_of(&not_owner, &other_host), "/message-body/2-7").await.status, 404);
+    let settled = store(found("settled", "h")).await;
+    assert_eq!(get(&front_of(&not_owner, &settled), "/message-body/2-7").await.status, 404);
+    let without_message = store(Found::default()).await;
+    let reply = get(&front_of(&not_owner, &without_message), "/message-body/2-7").await;
+    assert_eq!(reply.status, 503, "a replica cannot tell that there is no such message");
 }
 
-/// The owner's word that there is no such message stands, whatever copies say.
+/// A not-found answer of the owner holds even if a replica returns the message.
 #[tokio::test(flavor = "current_thread")]
-async fn an_owner_that_knows_of_no_such_message_is_believed() {
+async fn a_not_found_answer_of_the_owner_is_final() {
     let owner = store(Found { owner: true, ..Found::default() }).await;
-    let copy = store(copy_of("pending", "h")).await;
-    assert_eq!(ask(&front_of(&owner, &copy), "/message-body/2-7").await.status, 404);
+    let replica = store(found("pending", "h")).await;
+    assert_eq!(get(&front_of(&owner, &replica), "/message-body/2-7").await.status, 404);
 }
