--- a/crates/front/tests/tenancy.rs
+++ b/crates/front/tests/tenancy.rs
@@ -1,4 +1,4 @@
-//! Whose a request is, and which operation it belongs to.
+//! Which tenant and which operation a request belongs to.
 
 use config::{Configuration, ConfigurationIndex};
 use front::tenancy::{OPERATION_KEY_LIMIT, Refusal, operation_id, operation_key, optional_tenant, tenant_name};
@@ -60,21 +60,21 @@
     assert_eq!(tenant_name(&config, true, &request(&[("Authorization", "Bearer k9")])), Ok(""));
     let without = index(r#"{"revision": 1, "channels": [], "plants": [], "limits": {}}"#);
     assert_eq!(tenant_name(&without, false, &request(&[("Authorization", "nonsense")])), Ok(""));
-    // The last tenant was taken away: nobody holds a key.
-    let none_left = index(r#"{"revision": 1, "channels": [], "plants": [], "limits": {}, "tenants": []}"#);
-    assert_eq!(tenant_name(&none_left, false, &request(&[])), Err(Refusal::KeyMissing));
+    // An empty list of tenants: no key is valid.
+    let no_tenants = index(r#"{"revision": 1, "channels": [], "plants": [], "limits": {}, "tenants": []}"#);
+    assert_eq!(tenant_name(&no_tenants, false, &request(&[])), Err(Refusal::KeyMissing));
 }
 
 #[test]
-fn whoever_asks_without_a_key_is_nobodys_tenant() {
+fn a_request_without_a_key_has_no_tenant() {
     let config = index(CONFIG);
     assert!(optional_tenant(&config, &request(&[])).is_ok_and(|tenant| tenant.is_none()));
-    let asked = request(&[("Authorization", "Bearer k9")]);
-    assert_eq!(optional_tenant(&config, &asked).err(), Some(Refusal::KeyUnknown));
+    let unknown_key = request(&[("Authorization", "Bearer k9")]);
+    assert_eq!(optional_tenant(&config, &unknown_key).err(), Some(Refusal::KeyUnknown));
 }
 
 #[test]
-fn an_operation_key_stands_once_and_is_neither_empty_nor_too_long() {
+fn an_operation_key_occurs_once_and_is_neither_empty_nor_too_long() {
     let longest = "k".repeat(OPERATION_KEY_LIMIT);
     let too_long = "k".repeat(OPERATION_KEY_LIMIT + 1);
     assert_eq!(operation_key(&request(&[("x-operation-key", "k-5512")])), Ok("k-5512"));
@@ -91,9 +91,9 @@
 }
 
 #[test]
-fn an_operation_is_one_of_its_tenant_alone() {
+fn operation_ids_differ_between_tenants_and_between_keys() {
     assert_eq!(operation_id("clinic", "k"), operation_id("clinic", "k"));
     assert_ne!(operation_id("clinic", "k"), operation_id("shop", "k"));
     assert_ne!(operation_id("clinic", "k"), operation_id("clinic", "K"));
-    assert_ne!(operation_id("a", "bc"), operation_id("ab", "c"), "the border between the two counts");
+    assert_ne!(operation_id("a", "bc"), operation_id("ab", "c"), "the boundary between tenant and key matters");
 }
