--- a/crates/front/src/callback.rs
+++ b/crates/front/src/callback.rs
@@ -2,7 +2,7 @@
 //! accepted.
 //!
 //! A callback is a request that this system sends from inside its network to a URL chosen by a
-//! client. To prevent server-side request forgery, the URL is taken apart by a URL parser, never by
+//! client. To prevent server-side request forgery, the URL is read by a URL parser, never by
 //! searching for slashes, and it may not name an address on which this system listens: operator
 //! commands need no body, so a callback could issue one.
 
--- a/crates/front/src/delivery.rs
+++ b/crates/front/src/delivery.rs
@@ -69,7 +69,7 @@
 
     /// Whether no delivery is in progress or waits for its report to be acknowledged.
     pub fn is_idle(&self) -> bool {
-        self.outbox.lock().unwrap().under_way() == 0
+        self.outbox.lock().unwrap().held_count() == 0
     }
 
     /// Milliseconds since this worker was created.
@@ -130,7 +130,7 @@
                     versions.configuration,
                     versions.assignments,
                     versions.membership,
-                    self.outbox.lock().unwrap().under_way(),
+                    self.outbox.lock().unwrap().held_count(),
                     telemetry::render()
                 );
                 responder.send(Body::StatusAck(StatusAck { json }));
--- a/crates/front/src/ingest.rs
+++ b/crates/front/src/ingest.rs
@@ -34,9 +34,9 @@
 
 impl FrontService {
     pub fn new(settings: Settings) -> Arc<FrontService> {
-        let silence = Duration::from_millis((settings.constraints.quiet_ms / 4.0) as u64);
+        let silence_limit = Duration::from_millis((settings.constraints.quiet_ms / 4.0) as u64);
         Arc::new(FrontService {
-            rpc_clients: RpcClients::new(silence),
+            rpc_clients: RpcClients::new(silence_limit),
             view: watch::channel(ClusterView::default()).0,
             closing: watch::channel(Closing::Open).0,
             settings,
@@ -104,13 +104,13 @@
 
 /// Runs a front until `stop` is set, then drains it.
 pub async fn run(settings: Settings, mut stop: watch::Receiver<bool>) -> Result<(), String> {
-    let silence = Duration::from_millis((settings.constraints.quiet_ms / 4.0) as u64);
+    let silence_limit = Duration::from_millis((settings.constraints.quiet_ms / 4.0) as u64);
     let front = FrontService::new(settings.clone());
     let worker = DeliveryWorker::new(front.clone());
     let bind = async |addr: String| tokio::net::TcpListener::bind(&addr).await.map_err(|e| format!("{addr}: {e}"));
     let inner = bind(settings.inner_addr(Role::Front)).await?;
     let handler = worker.clone();
-    tokio::spawn(rpc::serve(inner, silence, move |body, responder| handler.handle(body, responder)));
+    tokio::spawn(rpc::serve(inner, silence_limit, move |body, responder| handler.handle(body, responder)));
     tokio::spawn(front.clone().follow(worker.clone()));
     let probed = front.clone();
     let ready = bind(settings.listen.ready.clone()).await?;
@@ -128,7 +128,7 @@
         ClientWatch::Off,
         move |request| answering.clone().answer(request),
     ));
-    let (ticking, tick_interval) = (worker.clone(), silence / 10);
+    let (ticking, tick_interval) = (worker.clone(), silence_limit / 10);
     tokio::spawn(async move {
         loop {
             tokio::time::sleep(tick_interval).await;
@@ -140,7 +140,7 @@
     tokio::spawn(async move {
         let mut rounds = 0u64;
         loop {
-            tokio::time::sleep(silence).await;
+            tokio::time::sleep(silence_limit).await;
             rounds += 1;
             swept.sweep();
             if rounds.is_multiple_of(30) {
@@ -151,7 +151,7 @@
     let _ = stop.wait_for(|stopped| *stopped).await;
     telemetry::change!("draining");
     let grace = Duration::from_millis((settings.constraints.grace_s * 1000.0) as u64);
-    http1::end_in_order(&front.closing, grace, silence / 10, || worker.is_idle()).await;
+    http1::end_in_order(&front.closing, grace, silence_limit / 10, || worker.is_idle()).await;
     telemetry::report(&settings.node, &rpc::sent());
     Ok(())
 }
--- a/crates/front/src/lookup.rs
+++ b/crates/front/src/lookup.rs
@@ -228,7 +228,7 @@
         let (owner, term) = owner.map_or((String::new(), 0), |owner| (owner.name, owner.term));
         let what = if query.wants_body { "body" } else { "state" };
         telemetry::change!(
-            "query for the {what} of message {} not answered: {miss}; partition {partition}, owner {owner:?}, term {term}",
+            "{what} of message {} not answered: {miss}; partition {partition}, owner {owner:?}, term {term}",
             query.name
         );
     }
--- a/crates/front/src/outbox.rs
+++ b/crates/front/src/outbox.rs
@@ -41,7 +41,7 @@
     }
 
     /// Number of deliveries held.
-    pub fn under_way(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.held.len()
     }
 
--- a/crates/front/tests/outbox.rs
+++ b/crates/front/tests/outbox.rs
@@ -79,7 +79,7 @@
     assert_eq!(outbox.request_run(&run(1, 21, 21), Some(1), false, resumed + 2), RunDecision::Refused);
     outbox.tick(resumed + interval);
     assert_eq!(outbox.request_run(&run(1, 22, 22), Some(1), false, resumed + interval), RunDecision::Send);
-    assert_eq!(outbox.under_way(), 11);
+    assert_eq!(outbox.held_count(), 11);
 }
 
 /// One step of a generated test case. Frames arrive late, twice and in any order.
@@ -147,12 +147,12 @@
                     forbidden.insert((request.term, request.attempt));
                 }
             }
-            Step::TakeOver(asks) => {
+            Step::TakeOver(queries_held) => {
                 // The new owner's log may lack the last dispatches, so that attempt numbers are reused.
                 (term, last_attempt) = (term + 1, last_attempt.saturating_sub(2));
                 forbidden.extend(frames.iter().chain(last.values()).map(|request| (request.term, request.attempt)));
                 last.clear();
-                if *asks {
+                if *queries_held {
                     outbox.held_deliveries(&Holding { partition: 3, term });
                 } else {
                     assigned_term = term;
