--- a/crates/front/src/lib.rs
+++ b/crates/front/src/lib.rs
@@ -1,5 +1,5 @@
-//! The front machines' program: takes messages from clients, answers for their
-//! state, and carries out deliveries and call-backs.
+//! The front program: accepts messages from clients, answers queries for their state and body, and
+//! carries out deliveries and callbacks.
 
 mod accept;
 mod callback;
@@ -12,6 +12,6 @@
 pub mod tenancy;
 pub use agent::{PlacementKeys, partition_of};
 pub use callback::{CallbackError, CallbackUrl};
-pub use delivery::{delivery_headers, read_answer};
+pub use delivery::{classify_answer, delivery_headers};
 pub use ingest::{FrontService, run};
-pub use outbox::{Outbox, OutboxEntry};
+pub use outbox::{Outbox, RunDecision};
