--- a/crates/functions/src/gateway/slot_client.rs
+++ b/crates/functions/src/gateway/slot_client.rs
@@ -188,7 +188,7 @@
         }
         let Some((name, inner)) = to else { return };
         if name == self.settings.node {
-            self.step(|c, now, out| c.back(&b, now, out));
+            self.step(|c, now, out| c.release(&b, now, out));
         } else {
             self.rpc_clients.to(&inner).send(Body::SlotRelease(b));
         }
--- a/crates/functions/src/gateway/slot_service.rs
+++ b/crates/functions/src/gateway/slot_service.rs
@@ -57,7 +57,7 @@
             };
             if let Some(Body::StartAck(a)) = asked {
                 if !a.processor.is_empty() {
-                    self.step(|c, now, out| c.started(&service, &nonce, &a, now, out));
+                    self.step(|c, now, out| c.processor_started(&service, &nonce, &a, now, out));
                     return;
                 }
                 if a.full {
@@ -74,7 +74,7 @@
             pause = (pause * 2).min(wait / 2);
         }
         telemetry::count("starts_given_up");
-        self.step(|c, now, out| c.not_started(&service, &nonce, full, now, out));
+        self.step(|c, now, out| c.start_failed(&service, &nonce, full, now, out));
     }
 
     pub(super) async fn stop_processor(self: Arc<Self>, processor: String) {
@@ -99,10 +99,10 @@
         match body {
             Body::SlotRequest(a) => self.asked(a, Waiter::Far(responder)),
             Body::Ack(a) => responder.send(Body::Ack(a)),
-            Body::SlotRelease(b) => self.step(|c, now, out| c.back(&b, now, out)),
+            Body::SlotRelease(b) => self.step(|c, now, out| c.release(&b, now, out)),
             Body::SlotsHeld(h) => self.step(|c, now, _| {
                 for one in &h.held {
-                    c.held(&h.front, one, now);
+                    c.record_held(&h.front, one, now);
                 }
             }),
             Body::Status(_) => {
@@ -110,7 +110,7 @@
                 let i = self.shared.lock().unwrap();
                 let functions: Vec<serde_json::Value> = i
                     .slot_table
-                    .tallies()
+                    .usage()
                     .into_iter()
                     .filter(|t| t.1 + t.2 + t.3 > 0)
                     .map(|t| serde_json::json!({"service": t.0, "processors": t.1, "held": t.2, "waiting": t.3}))
@@ -142,12 +142,12 @@
         let i = &mut *guard;
         i.waiters.insert((a.front.clone(), a.slot_id), w);
         let mut out = Vec::new();
-        i.slot_table.ask(&a, self.now(), &mut out);
+        i.slot_table.request(&a, self.now(), &mut out);
         self.carry_out(i, out);
     }
 
     pub(super) fn keeps(&self, service: &str) -> bool {
-        self.shared.lock().unwrap().slot_table.keeps(service)
+        self.shared.lock().unwrap().slot_table.is_in_use(service)
     }
 
     /// Asks the leader what the platform lists of what is kept here.
@@ -204,11 +204,11 @@
         let there: HashSet<String> =
             known.membership.nodes.iter().filter(|n| n.role == "functions").map(|n| n.name.clone()).collect();
         *self.fronts.lock().unwrap() = Arc::new(fronts);
-        let mut kept: HashMap<String, (Option<Facts>, Vec<Listed>)> = HashMap::new();
+        let mut kept: HashMap<String, (Option<FunctionConfig>, Vec<ListedProcessor>)> = HashMap::new();
         for p in known.configuration.services.iter().filter(|p| p.is_function()) {
             let mine = |dark: &[String]| self.slot_owner_but(&p.name, dark).is_some_and(|k| k.0 == self.settings.node);
             if mine(&dark) || mine(&[]) || self.keeps(&p.name) {
-                let facts = Facts { most: p.max_inflight as usize, boot_ms: p.boot_ms as u64 };
+                let facts = FunctionConfig { slots_per_processor: p.max_inflight as usize, boot_ms: p.boot_ms as u64 };
                 kept.insert(p.name.clone(), (Some(facts), Vec::new()));
             }
         }
@@ -220,7 +220,7 @@
         }
         for u in self.processors.lock().unwrap().iter() {
             if let Some(k) = kept.get_mut(&u.service) {
-                k.1.push(Listed {
+                k.1.push(ListedProcessor {
                     id: u.id.clone(),
                     address: u.address.clone(),
                     zone: u.zone.clone(),
@@ -230,10 +230,10 @@
         }
         let evacuated = known.assignments.evacuated_zones(known.membership.version);
         self.step(|c, now, out| {
-            c.evacuate(evacuated, now, out);
-            c.keep(&kept, now, out);
+            c.set_evacuated_zones(evacuated, now, out);
+            c.set_functions(&kept, now, out);
             if moved {
-                c.fronts(&there, now, out);
+                c.retain_fronts(&there, now, out);
             }
         });
         // Those that keep what is held here now are told of it.
--- a/crates/functions/src/slots.rs
+++ b/crates/functions/src/slots.rs
@@ -34,14 +34,14 @@
 
 /// What a configuration says of a function.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Facts {
-    pub most: usize,
+pub struct FunctionConfig {
+    pub slots_per_processor: usize,
     pub boot_ms: u64,
 }
 
 /// A processor as the platform lists it.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct ListedProcessor {
     pub id: String,
     pub address: String,
     pub zone: String,
@@ -94,7 +94,7 @@
 #[derive(Default)]
 struct FunctionSlots {
     /// What the configuration says, or said last.
-    facts: Option<Facts>,
+    facts: Option<FunctionConfig>,
     /// Whether the configuration in force names it.
     is_configured: bool,
     processors: BTreeMap<String, Slots>,
@@ -142,7 +142,7 @@
     }
 
     fn most(&self) -> usize {
-        self.facts.map_or(1, |f| f.most.max(1))
+        self.facts.map_or(1, |f| f.slots_per_processor.max(1))
     }
 
     fn boot(&self) -> u64 {
@@ -239,7 +239,7 @@
 
     /// The zones that are evacuated now: their processors are granted to nobody, and end once
     /// they are idle.
-    pub fn evacuate(&mut self, zones: HashSet<String>, now: u64, out: &mut Vec<Effect>) {
+    pub fn set_evacuated_zones(&mut self, zones: HashSet<String>, now: u64, out: &mut Vec<Effect>) {
         if zones == self.evacuated {
             return;
         }
@@ -254,7 +254,7 @@
     }
 
     /// Functions kept here, and how their slots stand: units, held, waiting.
-    pub fn tallies(&self) -> Vec<(&str, usize, usize, usize)> {
+    pub fn usage(&self) -> Vec<(&str, usize, usize, usize)> {
         let mut all: Vec<(&str, usize, usize, usize)> = self
             .functions
             .iter()
@@ -267,7 +267,7 @@
     }
 
     /// Whether anything is held or waited for here, though another may keep it.
-    pub fn keeps(&self, service: &str) -> bool {
+    pub fn is_in_use(&self, service: &str) -> bool {
         self.functions.get(service).is_some_and(FunctionSlots::is_in_use)
     }
 
@@ -285,7 +285,12 @@
     /// of each. What others keep is dropped, and who waits for it is sent there.
     /// A service without facts has left the configuration: its processors serve what is
     /// under way, and are stopped.
-    pub fn keep(&mut self, kept: &HashMap<String, (Option<Facts>, Vec<Listed>)>, now: u64, out: &mut Vec<Effect>) {
+    pub fn set_functions(
+        &mut self,
+        kept: &HashMap<String, (Option<FunctionConfig>, Vec<ListedProcessor>)>,
+        now: u64,
+        out: &mut Vec<Effect>,
+    ) {
         let gone: Vec<String> = self.functions.keys().filter(|p| !kept.contains_key(*p)).cloned().collect();
         for p in gone {
             for w in self.functions.remove(&p).into_iter().flat_map(|c| c.waits) {
@@ -334,7 +339,7 @@
     }
 
     /// A front wants a slot.
-    pub fn ask(&mut self, a: &SlotRequest, now: u64, out: &mut Vec<Effect>) {
+    pub fn request(&mut self, a: &SlotRequest, now: u64, out: &mut Vec<Effect>) {
         let c = self.function(&a.service, now);
         let holder = (a.front.clone(), a.slot_id);
         if c.over.contains_key(&holder) {
@@ -365,7 +370,7 @@
     }
 
     /// A slot comes back, or its holder says that the processor is up.
-    pub fn back(&mut self, b: &SlotRelease, now: u64, out: &mut Vec<Effect>) {
+    pub fn release(&mut self, b: &SlotRelease, now: u64, out: &mut Vec<Effect>) {
         let shy = self.shy;
         let Some(c) = self.functions.get_mut(&b.service) else { return };
         let boot = c.boot();
@@ -418,7 +423,7 @@
     }
 
     /// What a front holds, told because this one is the slot owner now.
-    pub fn held(&mut self, front: &str, h: &SlotHeld, now: u64) {
+    pub fn record_held(&mut self, front: &str, h: &SlotHeld, now: u64) {
         if self.gone.contains_key(&h.processor) {
             return;
         }
@@ -433,7 +438,7 @@
     }
 
     /// The platform has a processor on its way: that of `ack`, which names one.
-    pub fn started(&mut self, service: &str, nonce: &str, ack: &StartAck, now: u64, out: &mut Vec<Effect>) {
+    pub fn processor_started(&mut self, service: &str, nonce: &str, ack: &StartAck, now: u64, out: &mut Vec<Effect>) {
         let Some(c) = self.functions.get_mut(service) else { return };
         let began = c.starts.remove(nonce).map_or(now, |start| start.since);
         if !self.gone.contains_key(&ack.processor) {
@@ -445,7 +450,7 @@
     }
 
     /// The platform would not, or nobody can say.
-    pub fn not_started(&mut self, service: &str, nonce: &str, full: bool, now: u64, out: &mut Vec<Effect>) {
+    pub fn start_failed(&mut self, service: &str, nonce: &str, full: bool, now: u64, out: &mut Vec<Effect>) {
         let shy = self.shy;
         let Some(c) = self.functions.get_mut(service) else { return };
         c.starts.remove(nonce);
@@ -456,7 +461,7 @@
     }
 
     /// Fronts that are no longer there give back what they held.
-    pub fn fronts(&mut self, there: &HashSet<String>, now: u64, out: &mut Vec<Effect>) {
+    pub fn retain_fronts(&mut self, there: &HashSet<String>, now: u64, out: &mut Vec<Effect>) {
         let services: Vec<String> = self.functions.keys().cloned().collect();
         for p in services {
             if let Some(c) = self.functions.get_mut(&p) {
--- a/crates/functions/tests/slot_owner.rs
+++ b/crates/functions/tests/slot_owner.rs
@@ -4,12 +4,17 @@
 use rpc::messages::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-const FACTS: Facts = Facts { most: 2, boot_ms: 500 };
+const FACTS: FunctionConfig = FunctionConfig { slots_per_processor: 2, boot_ms: 500 };
 const SETTLE: u64 = 100;
 
-fn listed(ids: &[&str]) -> Vec<Listed> {
+fn listed(ids: &[&str]) -> Vec<ListedProcessor> {
     ids.iter()
-        .map(|i| Listed { id: i.to_string(), address: format!("10.0.0.1:{i}"), zone: "z".into(), draining: false })
+        .map(|i| ListedProcessor {
+            id: i.to_string(),
+            address: format!("10.0.0.1:{i}"),
+            zone: "z".into(),
+            draining: false,
+        })
         .collect()
 }
 
@@ -38,13 +43,13 @@
 
     fn list(&mut self, ids: &[&str]) {
         let kept = HashMap::from([("f".to_owned(), (Some(FACTS), listed(ids)))]);
-        self.slot_table.keep(&kept, self.now, &mut self.out);
+        self.slot_table.set_functions(&kept, self.now, &mut self.out);
     }
 
     /// The platform's list after the function has left the configuration.
     fn list_removed(&mut self, ids: &[&str]) {
         let kept = HashMap::from([("f".to_owned(), (None, listed(ids)))]);
-        self.slot_table.keep(&kept, self.now, &mut self.out);
+        self.slot_table.set_functions(&kept, self.now, &mut self.out);
     }
 
     fn pass(&mut self, ms: u64) {
@@ -71,14 +76,14 @@
             rank: 0,
             zones: zones.iter().map(|zone| zone.to_string()).collect(),
         };
-        self.slot_table.ask(&a, self.now, &mut self.out);
+        self.slot_table.request(&a, self.now, &mut self.out);
         self.slot_ids
     }
 
     fn back(&mut self, slot_id: u64, processor: &str, end: SlotEnd) {
         let (service, front, processor) = ("f".to_owned(), "a".to_owned(), processor.to_owned());
         let b = SlotRelease { service, front, slot_id, processor, end: end as i32, took_ms: 50 };
-        self.slot_table.back(&b, self.now, &mut self.out);
+        self.slot_table.release(&b, self.now, &mut self.out);
     }
 
     /// What was granted since the last look: slot id, unit, whether it is starting.
@@ -107,10 +112,10 @@
     assert!(w.granted().is_empty());
     let starts = w.starts();
     assert_eq!(starts.len(), 1, "two slots come with one start");
-    w.slot_table.started("f", &starts[0], &ack("u1", "10.0.0.1:1"), w.now, &mut w.out);
+    w.slot_table.processor_started("f", &starts[0], &ack("u1", "10.0.0.1:1"), w.now, &mut w.out);
     assert_eq!(w.granted(), [(a, "u1".into(), true)], "the first one connects until it is up");
     // The answer of a start that was asked again by the same nonce changes nothing.
-    w.slot_table.started("f", &starts[0], &ack("u1", "10.0.0.1:1"), w.now, &mut w.out);
+    w.slot_table.processor_started("f", &starts[0], &ack("u1", "10.0.0.1:1"), w.now, &mut w.out);
     w.pass(300);
     assert!(w.granted().is_empty());
     w.back(a, "u1", SlotEnd::Up);
@@ -135,7 +140,7 @@
     let a = w.ask(2000);
     let starts = w.starts();
     // No answer came of it; the platform had done it all the same.
-    w.slot_table.not_started("f", &starts[0], false, w.now, &mut w.out);
+    w.slot_table.start_failed("f", &starts[0], false, w.now, &mut w.out);
     w.list(&["u1"]);
     assert_eq!(w.granted(), [(a, "u1".into(), false)]);
     w.out.clear();
@@ -161,7 +166,7 @@
     // Another front holds both slots by the former slot owner's word.
     for slot_id in [71, 72] {
         let (service, processor, address) = ("f".to_owned(), "u1".to_owned(), "10.0.0.1:u1".to_owned());
-        w.slot_table.held(
+        w.slot_table.record_held(
             "b",
             &SlotHeld { service, slot_id, processor, address, hold_ms: 400, ..SlotHeld::default() },
             w.now,
@@ -184,7 +189,7 @@
     w.list(&["u1", "u2"]);
     let d = w.ask(2000);
     assert_eq!(w.granted(), [(d, "u1".into(), false)], "listed still, and not used");
-    w.slot_table.fronts(&HashSet::from(["b".to_owned()]), w.now, &mut w.out);
+    w.slot_table.retain_fronts(&HashSet::from(["b".to_owned()]), w.now, &mut w.out);
     let e = w.ask(2000);
     assert_eq!(w.granted(), [(e, "u1".into(), false)], "a's slots are free");
 }
@@ -226,10 +231,16 @@
                 7 if !nonces.is_empty() => {
                     let n: String = nonces.swap_remove(chance(nonces.len() as u64) as usize);
                     if chance(4) == 0 {
-                        w.slot_table.not_started("f", &n, false, w.now, &mut w.out);
+                        w.slot_table.start_failed("f", &n, false, w.now, &mut w.out);
                     } else {
                         processors += 1;
-                        w.slot_table.started("f", &n, &ack(&format!("u{processors}"), "10.0.0.1:9"), w.now, &mut w.out);
+                        w.slot_table.processor_started(
+                            "f",
+                            &n,
+                            &ack(&format!("u{processors}"), "10.0.0.1:9"),
+                            w.now,
+                            &mut w.out,
+                        );
                     }
                 }
                 _ => w.pass(chance(120)),
@@ -254,7 +265,7 @@
             for u in held.values() {
                 *count.entry(u).or_default() += 1;
             }
-            assert!(count.values().all(|n| *n <= FACTS.most), "seed {seed}: {count:?}");
+            assert!(count.values().all(|n| *n <= FACTS.slots_per_processor), "seed {seed}: {count:?}");
         }
         assert!(served > 20, "seed {seed}: {served} served");
     }
@@ -320,7 +331,7 @@
         rank: 0,
         zones: vec![],
     };
-    w.slot_table.ask(&a, w.now, &mut w.out);
+    w.slot_table.request(&a, w.now, &mut w.out);
 }
 
 #[test]
@@ -330,14 +341,14 @@
     // The answer was lost, and it is asked again: the same slot.
     ask_by(&mut w, 71, 2000);
     assert_eq!(w.granted(), [(71, "u1".into(), false), (71, "u1".into(), false)]);
-    assert_eq!(w.slot_table.tallies(), [("f", 1, 1, 0)]);
+    assert_eq!(w.slot_table.usage(), [("f", 1, 1, 0)]);
     w.back(71, "u1", SlotEnd::Done);
-    assert_eq!(w.slot_table.tallies(), [("f", 1, 0, 0)]);
+    assert_eq!(w.slot_table.usage(), [("f", 1, 0, 0)]);
     // Twice while it waits: one wait.
     for t in [72, 73, 74, 74] {
         ask_by(&mut w, t, 2000);
     }
-    assert_eq!(w.slot_table.tallies(), [("f", 1, 2, 1)]);
+    assert_eq!(w.slot_table.usage(), [("f", 1, 2, 1)]);
 }
 
 #[test]
@@ -347,7 +358,7 @@
     w.back(71, "", SlotEnd::Done);
     ask_by(&mut w, 71, 2000);
     assert!(w.granted().is_empty());
-    assert_eq!(w.slot_table.tallies(), [("f", 1, 0, 0)]);
+    assert_eq!(w.slot_table.usage(), [("f", 1, 0, 0)]);
     ask_by(&mut w, 72, 2000);
     assert_eq!(w.granted(), [(72, "u1".into(), false)]);
 }
@@ -357,7 +368,7 @@
     let mut w = World::new(&[]);
     // A front holds a slot of one that this slot owner's list does not show yet.
     let (service, processor, address) = ("f".to_owned(), "u9".to_owned(), "10.0.0.1:9".to_owned());
-    w.slot_table.held(
+    w.slot_table.record_held(
         "b",
         &SlotHeld { service, slot_id: 71, processor, address, hold_ms: 9000, ..SlotHeld::default() },
         w.now,
@@ -376,7 +387,7 @@
     let mut w = World::new(&["u1"]);
     let (a, b) = (w.ask(2000), w.ask(2000));
     assert_eq!(w.granted().len(), 2);
-    w.slot_table.fronts(&HashSet::from(["c".to_owned()]), w.now, &mut w.out);
+    w.slot_table.retain_fronts(&HashSet::from(["c".to_owned()]), w.now, &mut w.out);
     let of = |front: &str, slot_id| SlotRequest {
         service: "f".into(),
         front: front.into(),
@@ -386,7 +397,7 @@
         ..SlotRequest::default()
     };
     for slot_id in [1, 2, 3] {
-        w.slot_table.ask(&of("c", slot_id), w.now, &mut w.out);
+        w.slot_table.request(&of("c", slot_id), w.now, &mut w.out);
     }
     assert_eq!(w.granted().len(), 2, "its slots are others' now");
     // It says so of all it had, twice; the numbers are those of the others.
@@ -395,7 +406,7 @@
         w.back(b, "u1", end);
     }
     w.pass(1000);
-    assert_eq!((w.granted().len(), w.slot_table.tallies()), (0, vec![("f", 1, 2, 1)]));
+    assert_eq!((w.granted().len(), w.slot_table.usage()), (0, vec![("f", 1, 2, 1)]));
 }
 
 #[test]
@@ -440,7 +451,7 @@
     assert_eq!(w.out, [stop("u1")], "only what was idle for long enough");
     w.pass(2900);
     assert_eq!(w.out, [stop("u1"), stop("u2")]);
-    // Listed still after a while: the stop was lost.
+    // ListedProcessor still after a while: the stop was lost.
     w.out.clear();
     w.pass(STOP_AFTER);
     w.list_removed(&["u1"]);
@@ -501,7 +512,7 @@
         };
         asked[rank] += 1;
         ranks.insert(n, rank);
-        w.slot_table.ask(&ask, w.now, &mut w.out);
+        w.slot_table.request(&ask, w.now, &mut w.out);
         let next = w.now + every_ms;
         loop {
             for (slot_id, _, _) in w.granted() {
@@ -541,13 +552,13 @@
     let mut w = World::new(&["u1"]);
     let first = w.ask(2000);
     assert_eq!(w.granted(), [(first, "u1".into(), false)]);
-    w.slot_table.evacuate(HashSet::from(["z".to_owned()]), w.now, &mut w.out);
+    w.slot_table.set_evacuated_zones(HashSet::from(["z".to_owned()]), w.now, &mut w.out);
     w.ask(2000);
     assert!(w.granted().is_empty(), "a free slot of an evacuated zone was granted");
     let starts = w.starts();
     assert_eq!(starts.len(), 1, "one in another zone takes its place");
     let elsewhere = StartAck { zone: "y".into(), ..ack("u2", "10.0.0.2:1") };
-    w.slot_table.started("f", &starts[0], &elsewhere, w.now, &mut w.out);
+    w.slot_table.processor_started("f", &starts[0], &elsewhere, w.now, &mut w.out);
     assert_eq!(w.granted().len(), 1);
     // What runs there ends by itself; then the processor is stopped.
     w.back(first, "u1", SlotEnd::Done);
@@ -561,10 +572,10 @@
     let mut w = World::new(&[]);
     w.ask(2000);
     let starts = w.starts();
-    w.slot_table.evacuate(HashSet::from(["z".to_owned()]), w.now, &mut w.out);
-    w.slot_table.started("f", &starts[0], &ack("u1", "10.0.0.1:1"), w.now, &mut w.out);
+    w.slot_table.set_evacuated_zones(HashSet::from(["z".to_owned()]), w.now, &mut w.out);
+    w.slot_table.processor_started("f", &starts[0], &ack("u1", "10.0.0.1:1"), w.now, &mut w.out);
     assert!(w.granted().is_empty());
-    w.slot_table.evacuate(HashSet::new(), w.now, &mut w.out);
+    w.slot_table.set_evacuated_zones(HashSet::new(), w.now, &mut w.out);
     assert_eq!(w.granted().len(), 1, "taken back, it is used");
 }
 
@@ -580,6 +591,12 @@
     });
     let (nonce, zones) = asked.expect("a start in its own zones, though others are up");
     assert_eq!(zones, ["y"]);
-    w.slot_table.started("f", &nonce, &StartAck { zone: "y".into(), ..ack("u2", "10.0.0.2:1") }, w.now, &mut w.out);
+    w.slot_table.processor_started(
+        "f",
+        &nonce,
+        &StartAck { zone: "y".into(), ..ack("u2", "10.0.0.2:1") },
+        w.now,
+        &mut w.out,
+    );
     assert_eq!(w.granted(), [(bound, "u2".into(), true)]);
 }
