--- a/crates/functions/src/gateway.rs
+++ b/crates/functions/src/gateway.rs
@@ -104,14 +104,14 @@
     }
 
     /// Takes what is new of the system, and works out anew who keeps what.
-    pub fn learn(self: &Arc<Self>, update: &ViewUpdate) {
+    pub fn apply_update(self: &Arc<Self>, update: &ViewUpdate) {
         if self.known.send_if_modified(|k| k.take(update)) {
             self.arrange();
         }
     }
 
     /// Carries out what comes with time, as long as the process runs.
-    pub async fn keep_time(self: Arc<Self>) {
+    pub async fn run_timers(self: Arc<Self>) {
         let mut rounds = 0u64;
         loop {
             tokio::time::sleep(self.ratio(50.0)).await;
@@ -154,7 +154,7 @@
         let follower = Follower::new(&self.settings, self.rpc_clients.clone(), self.incarnation);
         let have = || self.known.borrow().have();
         let is_leaving = |closing: &Closing| *closing != Closing::Open;
-        let learn = |news: &ViewUpdate, _| self.learn(news);
+        let learn = |news: &ViewUpdate, _| self.apply_update(news);
         follower.run(self.closing.subscribe(), is_leaving, have, || self.pool.unidentified(), learn).await;
     }
 }
@@ -202,9 +202,9 @@
         move || sb.bounds(),
         functions.closing.subscribe(),
         ClientWatch::On,
-        move |r| s.clone().answer(r),
+        move |r| s.clone().handle_request(r),
     ));
-    tokio::spawn(functions.clone().keep_time());
+    tokio::spawn(functions.clone().run_timers());
     let _ = stop.wait_for(|s| *s).await;
     telemetry::change!("draining");
     let grace = Duration::from_millis((settings.constraints.grace_s * 1000.0) as u64);
--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -19,7 +19,7 @@
 
 impl FunctionGateway {
     /// One request of a client.
-    pub async fn answer(self: Arc<Self>, r: Request) -> Reply {
+    pub async fn handle_request(self: Arc<Self>, r: Request) -> Reply {
         let begun = Instant::now();
         let configuration = self.known.borrow().configuration.clone();
         if configuration.revision == 0 {
--- a/crates/functions/tests/gateway.rs
+++ b/crates/functions/tests/gateway.rs
@@ -159,10 +159,10 @@
         settings.constraints.retry_slack = 10_000.0;
         settings.constraints.retry_window_s = 10.0;
         let gateway = FunctionGateway::new(settings);
-        tokio::spawn(gateway.clone().keep_time());
+        tokio::spawn(gateway.clone().run_timers());
         let node = Node { name: "front-1".into(), role: "functions".into(), ..Node::default() };
         let world = World { gateway, runs, starts };
-        world.gateway.learn(&ViewUpdate {
+        world.gateway.apply_update(&ViewUpdate {
             configuration: Some(config.to_owned().into()),
             membership: Some(Membership { version: 1, nodes: vec![node], ..Membership::default() }),
             leader: address,
@@ -180,7 +180,7 @@
             headers: vec![header("Host", "h"), header("X-Attempt-Id", id), header("X-Deadline-Ms", &deadline)],
             ..Request::default()
         };
-        self.gateway.clone().answer(request).await
+        self.gateway.clone().handle_request(request).await
     }
 
     /// Calls until the function is up and its usual run is known.
@@ -393,7 +393,7 @@
     let closing = gateway.closing.subscribe();
     let serving = gateway.clone();
     tokio::spawn(http1::listen(listener, http1::Bounds::default, closing, http1::ClientWatch::On, move |r| {
-        serving.clone().answer(r)
+        serving.clone().handle_request(r)
     }));
     // The last one waits for the one slot of `g`, which is never free.
     let (mut clients, paths) = (Vec::new(), ["/f/run", "/f/silent", "/g/silent", "/g/wait"]);
@@ -444,9 +444,9 @@
         Some(change) => {
             let fingerprint = rpc::fingerprint(&new);
             let step = ConfigurationStep { revision: 2, since: 1, change: change.into(), fingerprint };
-            world.gateway.learn(&ViewUpdate { steps: vec![step], ..ViewUpdate::default() });
+            world.gateway.apply_update(&ViewUpdate { steps: vec![step], ..ViewUpdate::default() });
         }
-        None => world.gateway.learn(&ViewUpdate { configuration: Some(whole.into()), ..ViewUpdate::default() }),
+        None => world.gateway.apply_update(&ViewUpdate { configuration: Some(whole.into()), ..ViewUpdate::default() }),
     }
     for path in ["/a/x", "/b/x", "/c/x", "/a/deep/x"] {
         let mut served = 0;
@@ -472,7 +472,7 @@
     let address = listener.local_addr().expect("an address").to_string();
     let (serving, closing) = (world.gateway.clone(), world.gateway.closing.subscribe());
     tokio::spawn(http1::listen(listener, http1::Bounds::default, closing, http1::ClientWatch::On, move |r| {
-        serving.clone().answer(r)
+        serving.clone().handle_request(r)
     }));
     for path in ["/s/silent", "/u/silent"] {
         let mut stream = TcpStream::connect(&address).await.expect("connected");
