--- a/crates/functions/src/gateway.rs
+++ b/crates/functions/src/gateway.rs
@@ -20,15 +20,15 @@
 
 /// Where an ask for a slot is answered to.
 enum Waiter {
-    Far(Responder),
-    Near(oneshot::Sender<SlotGrant>),
+    Remote(Responder),
+    Local(oneshot::Sender<SlotGrant>),
 }
 
 impl Waiter {
     fn send(self, g: SlotGrant) {
         match self {
-            Waiter::Far(p) => p.send(Body::SlotGrant(g)),
-            Waiter::Near(tx) => {
+            Waiter::Remote(p) => p.send(Body::SlotGrant(g)),
+            Waiter::Local(tx) => {
                 let _ = tx.send(g);
             }
         }
@@ -36,7 +36,7 @@
 }
 
 /// A front that does not answer: until when it is passed over, and in which incarnation.
-struct Dark {
+struct UnresponsiveFront {
     until: Instant,
     incarnation: u64,
 }
@@ -45,13 +45,13 @@
     slot_table: SlotTable,
     waiters: HashMap<Holder, Waiter>,
     /// Fronts that do not answer, and until when they are left out.
-    dark: HashMap<String, Dark>,
+    unresponsive: HashMap<String, UnresponsiveFront>,
     /// Those of them that were known when slot owners were worked out last.
-    passed_over: Vec<String>,
+    excluded_fronts: Vec<String>,
     /// How long runs take, by function, about.
-    took: HashMap<String, f64>,
+    mean_run_ms: HashMap<String, f64>,
     /// What this front holds: by slot id, of which function, and until when.
-    holds: HashMap<u64, (SlotHeld, Instant)>,
+    held_slots: HashMap<u64, (SlotHeld, Instant)>,
     retry_budget: RetryBudget,
 }
 
@@ -59,16 +59,16 @@
     settings: Settings,
     rpc_clients: Arc<RpcClients>,
     pool: Arc<ConnectionPool>,
-    known: watch::Sender<ClusterView>,
+    view: watch::Sender<ClusterView>,
     /// How far this process is on its way out.
     pub closing: watch::Sender<Closing>,
-    shared: Mutex<GatewayState>,
+    state: Mutex<GatewayState>,
     /// Fronts by which slot owners are chosen, as of the last membership.
     fronts: Mutex<Arc<Vec<rpc::Front>>>,
     /// The processors of what is kept here, as the leader told them last.
     processors: Mutex<Vec<Processor>>,
-    start: Instant,
-    slot_ids: AtomicU64,
+    started_at: Instant,
+    next_slot_id: AtomicU64,
     incarnation: u64,
 }
 
@@ -83,21 +83,21 @@
         Arc::new(FunctionGateway {
             rpc_clients: RpcClients::new(silence),
             pool: ConnectionPool::new(silence),
-            known: watch::channel(ClusterView::default()).0,
+            view: watch::channel(ClusterView::default()).0,
             closing: watch::channel(Closing::Open).0,
-            shared: Mutex::new(GatewayState {
+            state: Mutex::new(GatewayState {
                 slot_table: SlotTable::new(&settings.node, incarnation, (quiet / 40.0) as u64, (quiet / 4.0) as u64),
                 waiters: HashMap::new(),
-                dark: HashMap::new(),
-                passed_over: Vec::new(),
-                took: HashMap::new(),
-                holds: HashMap::new(),
+                unresponsive: HashMap::new(),
+                excluded_fronts: Vec::new(),
+                mean_run_ms: HashMap::new(),
+                held_slots: HashMap::new(),
                 retry_budget: RetryBudget::new(c.retry_ratio, window, Instant::now()),
             }),
             fronts: Mutex::default(),
             processors: Mutex::default(),
-            start: Instant::now(),
-            slot_ids: AtomicU64::new(incarnation),
+            started_at: Instant::now(),
+            next_slot_id: AtomicU64::new(incarnation),
             incarnation,
             settings,
         })
@@ -105,8 +105,8 @@
 
     /// Takes what is new of the system, and works out anew who keeps what.
     pub fn apply_update(self: &Arc<Self>, update: &ViewUpdate) {
-        if self.known.send_if_modified(|k| k.take(update)) {
-            self.arrange();
+        if self.view.send_if_modified(|k| k.take(update)) {
+            self.reassign_functions();
         }
     }
 
@@ -114,11 +114,11 @@
     pub async fn run_timers(self: Arc<Self>) {
         let mut rounds = 0u64;
         loop {
-            tokio::time::sleep(self.ratio(50.0)).await;
+            tokio::time::sleep(self.quiet_fraction(50.0)).await;
             rounds += 1;
-            self.step(|c, now, out| c.tick(now, out));
-            if self.dark() != self.shared.lock().unwrap().passed_over {
-                self.arrange();
+            self.update_slots(|c, now, out| c.tick(now, out));
+            if self.unresponsive_fronts() != self.state.lock().unwrap().excluded_fronts {
+                self.reassign_functions();
             }
             if rounds.is_multiple_of(50) {
                 self.pool.sweep(|_| true);
@@ -129,30 +129,30 @@
         }
     }
 
-    fn now(&self) -> u64 {
-        self.start.elapsed().as_millis() as u64 + 1_000_000
+    fn now_ms(&self) -> u64 {
+        self.started_at.elapsed().as_millis() as u64 + 1_000_000
     }
 
-    fn ratio(&self, part: f64) -> Duration {
+    fn quiet_fraction(&self, part: f64) -> Duration {
         Duration::from_micros((self.settings.constraints.quiet_ms * 1000.0 / part) as u64)
     }
 
     fn is_ready(&self) -> bool {
-        let k = self.known.borrow();
+        let k = self.view.borrow();
         *self.closing.borrow() == Closing::Open
             && k.configuration.revision > 0
             && !self.fronts.lock().unwrap().is_empty()
     }
 
     fn bounds(&self) -> Bounds {
-        let l = &self.known.borrow().configuration.limits;
+        let l = &self.view.borrow().configuration.limits;
         Bounds::told(l.header_bytes, l.body_bytes, l.header_ms, l.idle_ms)
     }
 
     /// Follows the agent beside it; keeps what it is to keep.
-    async fn follow(self: Arc<Self>) {
+    async fn follow_agent(self: Arc<Self>) {
         let follower = Follower::new(&self.settings, self.rpc_clients.clone(), self.incarnation);
-        let have = || self.known.borrow().have();
+        let have = || self.view.borrow().have();
         let is_leaving = |closing: &Closing| *closing != Closing::Open;
         let learn = |news: &ViewUpdate, _| self.apply_update(news);
         follower.run(self.closing.subscribe(), is_leaving, have, || self.pool.unidentified(), learn).await;
@@ -160,19 +160,19 @@
 }
 
 /// Gives the slot back when nobody waits for it any more.
-struct Back<'a> {
+struct SlotReleaseGuard<'a> {
     functions: &'a Arc<FunctionGateway>,
     /// The slot owner that was asked; None: whoever it is by then.
     to: Option<(String, String)>,
     back: Option<SlotRelease>,
 }
 
-impl Drop for Back<'_> {
+impl Drop for SlotReleaseGuard<'_> {
     fn drop(&mut self) {
         if let Some(b) = self.back.take() {
             match self.to.take() {
-                Some(to) => self.functions.tell_to(Some(to), b),
-                None => self.functions.tell(b),
+                Some(to) => self.functions.report_slot_to(Some(to), b),
+                None => self.functions.report_slot(b),
             }
         }
     }
@@ -185,9 +185,9 @@
     let bind = async |addr: String| tokio::net::TcpListener::bind(&addr).await.map_err(|e| format!("{addr}: {e}"));
     let inner = bind(settings.inner_addr(Role::Front)).await?;
     let s = functions.clone();
-    tokio::spawn(rpc::serve(inner, silence, move |body, responder| s.handle(body, responder)));
-    tokio::spawn(functions.clone().follow());
-    tokio::spawn(functions.clone().ask_processors());
+    tokio::spawn(rpc::serve(inner, silence, move |body, responder| s.handle_rpc(body, responder)));
+    tokio::spawn(functions.clone().follow_agent());
+    tokio::spawn(functions.clone().poll_processors());
     let s = functions.clone();
     let ready = bind(settings.listen.ready.clone()).await?;
     let open = watch::channel(Closing::Open);
--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -21,7 +21,7 @@
     /// One request of a client.
     pub async fn handle_request(self: Arc<Self>, r: Request) -> Reply {
         let begun = Instant::now();
-        let configuration = self.known.borrow().configuration.clone();
+        let configuration = self.view.borrow().configuration.clone();
         if configuration.revision == 0 {
             return busy(500);
         }
@@ -29,7 +29,7 @@
             Ok(ask) => ask,
             Err(refusal) => return refusal,
         };
-        self.shared.lock().unwrap().retry_budget.sent(begun);
+        self.state.lock().unwrap().retry_budget.sent(begun);
         let mut closing = self.closing.subscribe();
         let outcome = tokio::select! {
             // First: what others give back as they end is not to be taken any more.
@@ -48,24 +48,24 @@
 
     /// Sends a request, and beside the first send another one where that takes long.
     async fn serve(self: &Arc<Self>, ask: &ClientRequest<'_>) -> Result<Answer, Failure> {
-        let usual = self.shared.lock().unwrap().took.get(&ask.service).copied();
+        let usual = self.state.lock().unwrap().mean_run_ms.get(&ask.service).copied();
         let Some(usual) = usual.filter(|_| ask.is_safe) else { return self.tries(ask).await };
         // An answer may be lost, or its processor slow: when it takes far longer than
         // runs do, another is asked as well, and the first answer is the client's.
         let patience_ms = (ask.route.target_latency_ms.max(1.0) * HEDGE_PART).max(usual * HEDGE_FACTOR);
         let patience = Duration::from_micros((patience_ms * 1000.0) as u64);
         let second = || {
-            let is_worth_it = ask.attempts().has_room() && self.holds_any(&ask.service) && self.again();
+            let is_worth_it = ask.attempts().has_room() && self.holds_slot_of(&ask.service) && self.take_retry();
             is_worth_it.then(|| self.tries(ask))
         };
         hedged(self.tries(ask), patience, second).await
     }
 
     /// Takes one of the repeats that are allowed to this front.
-    pub(super) fn again(&self) -> bool {
+    pub(super) fn take_retry(&self) -> bool {
         let fronts = self.fronts.lock().unwrap().len().max(1);
         let slack = self.settings.constraints.retry_slack / fronts as f64;
-        self.shared.lock().unwrap().retry_budget.again(slack, Instant::now())
+        self.state.lock().unwrap().retry_budget.again(slack, Instant::now())
     }
 
     /// Sends one request until there is an answer, or another try must not be.
@@ -75,7 +75,7 @@
                 return Err(Failure::not_run());
             }
             let patience = wait_for_slot(ask.route, ask.left());
-            let (slot_id, g) = self.slot(&ask.service, ask.route, &ask.zones, patience).await?;
+            let (slot_id, g) = self.acquire_slot(&ask.service, ask.route, &ask.zones, patience).await?;
             let back = SlotRelease {
                 service: ask.service.clone(),
                 front: self.settings.node.clone(),
@@ -85,7 +85,7 @@
             };
             let sent = Instant::now();
             // If nobody waits for this try any more, the processor drops it as well.
-            let mut guard = Back { functions: self, to: None, back: Some(back.clone()) };
+            let mut guard = SlotReleaseGuard { functions: self, to: None, back: Some(back.clone()) };
             let heard = self.pass(ask, &g, &back).await;
             guard.back = None;
             let took = sent.elapsed().as_millis().max(1) as u32;
@@ -95,11 +95,11 @@
                 Heard::TooManyProcessors => (SlotEnd::Done, 0),
             };
             if took > 0 {
-                let mut i = self.shared.lock().unwrap();
-                let t = i.took.entry(ask.service.clone()).or_insert(f64::from(took));
+                let mut i = self.state.lock().unwrap();
+                let t = i.mean_run_ms.entry(ask.service.clone()).or_insert(f64::from(took));
                 *t = *t * 0.9 + f64::from(took) * 0.1;
             }
-            self.tell(SlotRelease { end: ended as i32, took_ms: took, ..back });
+            self.report_slot(SlotRelease { end: ended as i32, took_ms: took, ..back });
             let gap = match heard {
                 Heard::Whole(a) => return Ok(a),
                 Heard::Missed(gap, _) => gap,
@@ -117,7 +117,7 @@
             };
             let again = gap.again(if ask.is_safe { RetrySafety::Safe } else { RetrySafety::Unsafe });
             let more = matches!(again, RetryOwner::Front | RetryOwner::FrontTries) && ask.attempts().has_room();
-            if !more || !self.again() {
+            if !more || !self.take_retry() {
                 return Err(failure);
             }
             telemetry::count("sent_again");
@@ -141,7 +141,8 @@
             return Heard::TooManyProcessors;
         }
         let target = Target { processor: g.processor.clone(), address: g.address.clone() };
-        let rules = ConnectionRules { newest: self.ratio(20.0), connect: None, refusal: self.ratio(200.0) };
+        let rules =
+            ConnectionRules { newest: self.quiet_fraction(20.0), connect: None, refusal: self.quiet_fraction(200.0) };
         let outcome = send(&self.pool, ask, &target, within, rules).await;
         if outcome.has_not_run() {
             ask.attempts().did_not_run(&g.processor);
@@ -160,25 +161,25 @@
 
     /// Whether the processors of a zone are sent nothing.
     fn is_evacuated(&self, zone: &str) -> bool {
-        let known = self.known.borrow();
+        let known = self.view.borrow();
         known.assignments.zone_use(zone, known.membership.version) == ZoneUse::Evacuated
     }
 
     /// Connects to a processor that refuses until it has started, and tells its slot owner
     /// when it has; false if the time is over before that.
     async fn wait_until_up(self: &Arc<Self>, ask: &ClientRequest<'_>, g: &SlotGrant, back: &SlotRelease) -> bool {
-        let step = self.ratio(200.0);
+        let step = self.quiet_fraction(200.0);
         loop {
             let left = ask.left();
             if left.is_zero() || ask.is_abandoned() {
                 return false;
             }
-            match self.pool.open(&g.address, left.min(self.ratio(20.0))).await {
+            match self.pool.open(&g.address, left.min(self.quiet_fraction(20.0))).await {
                 Ok(()) => break,
                 Err(_) => tokio::time::sleep(step.min(left)).await,
             }
         }
-        self.tell(SlotRelease { end: SlotEnd::Up as i32, ..back.clone() });
+        self.report_slot(SlotRelease { end: SlotEnd::Up as i32, ..back.clone() });
         true
     }
 }
--- a/crates/functions/src/gateway/slot_client.rs
+++ b/crates/functions/src/gateway/slot_client.rs
@@ -5,67 +5,74 @@
 impl FunctionGateway {
     /// The front that keeps a function, as far as this one can tell: its name and address.
     pub(super) fn slot_owner(&self, service: &str) -> Option<(String, String)> {
-        let dark = self.dark();
-        self.slot_owner_but(service, &dark)
+        let dark = self.unresponsive_fronts();
+        self.slot_owner_excluding(service, &dark)
     }
 
-    pub(super) fn slot_owner_but(&self, service: &str, dark: &[String]) -> Option<(String, String)> {
+    pub(super) fn slot_owner_excluding(&self, service: &str, dark: &[String]) -> Option<(String, String)> {
         let fronts = self.fronts.lock().unwrap().clone();
         let but = |n: &str| dark.iter().any(|d| d == n);
         rpc::slot_owner_but(&fronts, service, but).map(|f| (f.1.clone(), f.2.clone()))
     }
 
     /// The fronts that did not answer of late.
-    pub(super) fn dark(&self) -> Vec<String> {
+    pub(super) fn unresponsive_fronts(&self) -> Vec<String> {
         let now = Instant::now();
-        let mut i = self.shared.lock().unwrap();
-        if i.dark.is_empty() {
+        let mut i = self.state.lock().unwrap();
+        if i.unresponsive.is_empty() {
             return Vec::new();
         }
-        i.dark.retain(|_, d| d.until > now);
-        let mut all: Vec<String> = i.dark.keys().cloned().collect();
+        i.unresponsive.retain(|_, d| d.until > now);
+        let mut all: Vec<String> = i.unresponsive.keys().cloned().collect();
         all.sort();
         all
     }
 
     /// A front does not answer: another one keeps its functions until its session is
     /// over, or it begins another incarnation, or half of `quietMs` is.
-    pub(super) fn shun(self: &Arc<Self>, name: &str) {
-        let incarnation = self.known.borrow().node(name, "functions").map_or(0, |n| n.incarnation);
-        let until = Instant::now() + self.ratio(2.0);
-        if self.shared.lock().unwrap().dark.insert(name.to_owned(), Dark { until, incarnation }).is_none() {
+    pub(super) fn mark_unresponsive(self: &Arc<Self>, name: &str) {
+        let incarnation = self.view.borrow().node(name, "functions").map_or(0, |n| n.incarnation);
+        let until = Instant::now() + self.quiet_fraction(2.0);
+        if self
+            .state
+            .lock()
+            .unwrap()
+            .unresponsive
+            .insert(name.to_owned(), UnresponsiveFront { until, incarnation })
+            .is_none()
+        {
             telemetry::change!("{name} does not answer");
-            self.arrange();
+            self.reassign_functions();
         }
     }
 
     /// Whether anybody is there at a front.
-    pub(super) async fn answers(&self, inner: &str) -> bool {
-        self.rpc_clients.to(inner).call(Body::Ack(Ack {}), self.ratio(16.0)).await.is_ok()
+    pub(super) async fn responds(&self, inner: &str) -> bool {
+        self.rpc_clients.to(inner).call(Body::Ack(Ack {}), self.quiet_fraction(16.0)).await.is_ok()
     }
 
     /// Another front passes some over that are well as far as is known here: they are
     /// looked for from here too, before there are two slot owners of one function.
-    pub(super) async fn look_for(self: Arc<Self>, a: SlotRequest, w: Waiter) {
+    pub(super) async fn check_excluded_fronts(self: Arc<Self>, a: SlotRequest, w: Waiter) {
         let fronts = self.fronts.lock().unwrap().clone();
-        let mine = self.dark();
+        let mine = self.unresponsive_fronts();
         let asked: Vec<(String, String)> = fronts
             .iter()
             .filter(|f| a.dark.contains(&f.1) && !mine.contains(&f.1))
             .map(|f| (f.1.clone(), f.2.clone()))
             .collect();
         for (name, inner) in asked {
-            if self.answers(&inner).await {
+            if self.responds(&inner).await {
                 let outcome = SlotOutcome::Elsewhere as i32;
                 return w.send(SlotGrant { outcome, processor: name, ..SlotGrant::default() });
             }
-            self.shun(&name);
+            self.mark_unresponsive(&name);
         }
-        self.taken(a, w);
+        self.enqueue_slot_request(a, w);
     }
 
     /// A slot for one request, if one can be had in time.
-    pub(super) async fn slot(
+    pub(super) async fn acquire_slot(
         self: &Arc<Self>,
         service: &str,
         c: &Route,
@@ -78,7 +85,7 @@
             let Some((name, inner)) = self.slot_owner(service) else { break };
             let patience = end.saturating_duration_since(Instant::now());
             // One for each ask: what became of an earlier one is nothing to this one.
-            let slot_id = self.slot_ids.fetch_add(1, Ordering::Relaxed);
+            let slot_id = self.next_slot_id.fetch_add(1, Ordering::Relaxed);
             let ask = SlotRequest {
                 service: service.to_owned(),
                 front: self.settings.node.clone(),
@@ -86,7 +93,7 @@
                 patience_ms: patience.as_millis() as u32,
                 hold_ms: (c.timeout_ms as u32).saturating_add(patience.as_millis() as u32),
                 target_start_ms: c.target_latency_ms as u32,
-                dark: self.dark(),
+                dark: self.unresponsive_fronts(),
                 rank: c.rank,
                 zones: zones.to_vec(),
             };
@@ -99,13 +106,13 @@
                 ..SlotRelease::default()
             };
             let to = Some((name.clone(), inner.clone()));
-            let mut given_up = Back { functions: self, to, back: Some(empty) };
+            let mut given_up = SlotReleaseGuard { functions: self, to, back: Some(empty) };
             let granted = if name == self.settings.node {
                 let (tx, rx) = oneshot::channel();
-                self.asked(ask, Waiter::Near(tx));
+                self.handle_slot_request(ask, Waiter::Local(tx));
                 rx.await.ok()
             } else {
-                let mut rx = self.known.subscribe();
+                let mut rx = self.view.subscribe();
                 rx.mark_unchanged();
                 let end = self.rpc_clients.to(&inner);
                 // A slot owner that is gone from the membership answers nothing any more.
@@ -120,8 +127,8 @@
                 // A wait may be long; whether there is anybody at all is asked apart.
                 let there = async {
                     loop {
-                        tokio::time::sleep(self.ratio(16.0)).await;
-                        if !self.answers(&inner).await {
+                        tokio::time::sleep(self.quiet_fraction(16.0)).await;
+                        if !self.responds(&inner).await {
                             return;
                         }
                     }
@@ -138,7 +145,7 @@
                     Ok(Body::SlotGrant(g)) => Some(g),
                     Ok(_) => None,
                     Err(()) => {
-                        self.shun(&name);
+                        self.mark_unresponsive(&name);
                         None
                     }
                 }
@@ -158,7 +165,7 @@
                         zone: g.zone.clone(),
                     };
                     let until = Instant::now() + patience + Duration::from_millis(c.timeout_ms as u64);
-                    self.shared.lock().unwrap().holds.insert(slot_id, (held, until));
+                    self.state.lock().unwrap().held_slots.insert(slot_id, (held, until));
                     return Ok((slot_id, g));
                 }
                 Some(g) if g.outcome == SlotOutcome::None as i32 => {
@@ -166,29 +173,29 @@
                 }
                 Some(g) if !g.processor.is_empty() => {
                     // That one does answer others: it is asked again.
-                    self.shared.lock().unwrap().dark.remove(&g.processor);
+                    self.state.lock().unwrap().unresponsive.remove(&g.processor);
                 }
                 _ => {}
             }
             said = 100;
-            tokio::time::sleep(self.ratio(400.0).min(end.saturating_duration_since(Instant::now()))).await;
+            tokio::time::sleep(self.quiet_fraction(400.0).min(end.saturating_duration_since(Instant::now()))).await;
         }
         Err(Failure::NotRun { retry_ms: said.max(50) })
     }
 
     /// Tells the slot owner, whoever that is by now.
-    pub(super) fn tell(self: &Arc<Self>, b: SlotRelease) {
+    pub(super) fn report_slot(self: &Arc<Self>, b: SlotRelease) {
         let to = self.slot_owner(&b.service);
-        self.tell_to(to, b);
+        self.report_slot_to(to, b);
     }
 
-    pub(super) fn tell_to(self: &Arc<Self>, to: Option<(String, String)>, b: SlotRelease) {
+    pub(super) fn report_slot_to(self: &Arc<Self>, to: Option<(String, String)>, b: SlotRelease) {
         if b.end != SlotEnd::Up as i32 {
-            self.shared.lock().unwrap().holds.remove(&b.slot_id);
+            self.state.lock().unwrap().held_slots.remove(&b.slot_id);
         }
         let Some((name, inner)) = to else { return };
         if name == self.settings.node {
-            self.step(|c, now, out| c.release(&b, now, out));
+            self.update_slots(|c, now, out| c.release(&b, now, out));
         } else {
             self.rpc_clients.to(&inner).send(Body::SlotRelease(b));
         }
@@ -196,7 +203,7 @@
 
     /// Whether a slot of this function is held here; if none is, whoever waits waits
     /// for a start, and another ask would only wait beside it.
-    pub(super) fn holds_any(&self, service: &str) -> bool {
-        self.shared.lock().unwrap().holds.values().any(|h| h.0.service == service)
+    pub(super) fn holds_slot_of(&self, service: &str) -> bool {
+        self.state.lock().unwrap().held_slots.values().any(|h| h.0.service == service)
     }
 }
--- a/crates/functions/src/gateway/slot_service.rs
+++ b/crates/functions/src/gateway/slot_service.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl FunctionGateway {
-    pub(super) fn carry_out(self: &Arc<Self>, i: &mut GatewayState, effects: Vec<Effect>) {
+    pub(super) fn apply_effects(self: &Arc<Self>, i: &mut GatewayState, effects: Vec<Effect>) {
         for e in effects {
             match e {
                 Effect::Grant { holder, processor, address, zone, starting } => {
@@ -34,22 +34,22 @@
         }
     }
 
-    pub(super) fn step(self: &Arc<Self>, f: impl FnOnce(&mut SlotTable, u64, &mut Vec<Effect>)) {
-        let mut guard = self.shared.lock().unwrap();
+    pub(super) fn update_slots(self: &Arc<Self>, f: impl FnOnce(&mut SlotTable, u64, &mut Vec<Effect>)) {
+        let mut guard = self.state.lock().unwrap();
         let i = &mut *guard;
         let mut out = Vec::new();
-        f(&mut i.slot_table, self.now(), &mut out);
-        self.carry_out(i, out);
+        f(&mut i.slot_table, self.now_ms(), &mut out);
+        self.apply_effects(i, out);
     }
 
     /// Asks the leader for a processor, by one nonce until it is clear what came of it.
     pub(super) async fn start_processor(self: Arc<Self>, ask: Start) {
         let Start { service, nonce, .. } = ask.clone();
-        let wait = self.ratio(4.0);
+        let wait = self.quiet_fraction(4.0);
         let end = Instant::now() + 4 * wait;
-        let (mut full, mut pause) = (false, self.ratio(100.0));
+        let (mut full, mut pause) = (false, self.quiet_fraction(100.0));
         while Instant::now() < end {
-            let leader = self.known.borrow().leader.clone();
+            let leader = self.view.borrow().leader.clone();
             let asked = if leader.is_empty() {
                 None
             } else {
@@ -57,7 +57,7 @@
             };
             if let Some(Body::StartAck(a)) = asked {
                 if !a.processor.is_empty() {
-                    self.step(|c, now, out| c.processor_started(&service, &nonce, &a, now, out));
+                    self.update_slots(|c, now, out| c.processor_started(&service, &nonce, &a, now, out));
                     return;
                 }
                 if a.full {
@@ -65,7 +65,7 @@
                     break;
                 }
                 if !a.leader.is_empty() && a.leader != leader {
-                    self.known.send_if_modified(|k| k.take(&ViewUpdate { leader: a.leader, ..ViewUpdate::default() }));
+                    self.view.send_if_modified(|k| k.take(&ViewUpdate { leader: a.leader, ..ViewUpdate::default() }));
                 }
             }
             // Longer each time: hundreds of functions may be asked for while nobody is
@@ -74,40 +74,40 @@
             pause = (pause * 2).min(wait / 2);
         }
         telemetry::count("starts_given_up");
-        self.step(|c, now, out| c.start_failed(&service, &nonce, full, now, out));
+        self.update_slots(|c, now, out| c.start_failed(&service, &nonce, full, now, out));
     }
 
     pub(super) async fn stop_processor(self: Arc<Self>, processor: String) {
         for _ in 0..4 {
-            let leader = self.known.borrow().leader.clone();
+            let leader = self.view.borrow().leader.clone();
             if !leader.is_empty()
                 && let Ok(Body::Ack(_)) = self
                     .rpc_clients
                     .to(&leader)
-                    .call(Body::Stop(StopProcessor { processor: processor.clone() }), self.ratio(4.0))
+                    .call(Body::Stop(StopProcessor { processor: processor.clone() }), self.quiet_fraction(4.0))
                     .await
             {
                 return;
             }
-            tokio::time::sleep(self.ratio(20.0)).await;
+            tokio::time::sleep(self.quiet_fraction(20.0)).await;
         }
         // It is listed still, and found idle again by whoever keeps the function.
         telemetry::count("stops_given_up");
     }
 
-    pub(super) fn handle(self: &Arc<Self>, body: Body, responder: Responder) {
+    pub(super) fn handle_rpc(self: &Arc<Self>, body: Body, responder: Responder) {
         match body {
-            Body::SlotRequest(a) => self.asked(a, Waiter::Far(responder)),
+            Body::SlotRequest(a) => self.handle_slot_request(a, Waiter::Remote(responder)),
             Body::Ack(a) => responder.send(Body::Ack(a)),
-            Body::SlotRelease(b) => self.step(|c, now, out| c.release(&b, now, out)),
-            Body::SlotsHeld(h) => self.step(|c, now, _| {
+            Body::SlotRelease(b) => self.update_slots(|c, now, out| c.release(&b, now, out)),
+            Body::SlotsHeld(h) => self.update_slots(|c, now, _| {
                 for one in &h.held {
                     c.record_held(&h.front, one, now);
                 }
             }),
             Body::Status(_) => {
-                let k = self.known.borrow().have();
-                let i = self.shared.lock().unwrap();
+                let k = self.view.borrow().have();
+                let i = self.state.lock().unwrap();
                 let functions: Vec<serde_json::Value> = i
                     .slot_table
                     .usage()
@@ -116,7 +116,7 @@
                     .map(|t| serde_json::json!({"service": t.0, "processors": t.1, "held": t.2, "waiting": t.3}))
                     .collect();
                 let json = serde_json::json!({"node": self.settings.node, "ready": self.is_ready(),
-                    "configuration": k.configuration, "membership": k.membership, "holds": i.holds.len(), "keeps": functions,
+                    "configuration": k.configuration, "membership": k.membership, "holds": i.held_slots.len(), "keeps": functions,
                     "counters": telemetry::render()});
                 drop(i);
                 responder.send(Body::StatusAck(StatusAck { json: json.to_string() }));
@@ -125,39 +125,40 @@
         }
     }
 
-    pub(super) fn asked(self: &Arc<Self>, a: SlotRequest, w: Waiter) {
-        let mine = |dark: &[String]| self.slot_owner_but(&a.service, dark).is_some_and(|k| k.0 == self.settings.node);
-        if mine(&self.dark()) {
-            self.taken(a, w);
+    pub(super) fn handle_slot_request(self: &Arc<Self>, a: SlotRequest, w: Waiter) {
+        let mine =
+            |dark: &[String]| self.slot_owner_excluding(&a.service, dark).is_some_and(|k| k.0 == self.settings.node);
+        if mine(&self.unresponsive_fronts()) {
+            self.enqueue_slot_request(a, w);
         } else if mine(&a.dark) {
-            tokio::spawn(self.clone().look_for(a, w));
+            tokio::spawn(self.clone().check_excluded_fronts(a, w));
         } else {
             let outcome = SlotOutcome::Elsewhere as i32;
             w.send(SlotGrant { outcome, ..SlotGrant::default() });
         }
     }
 
-    pub(super) fn taken(self: &Arc<Self>, a: SlotRequest, w: Waiter) {
-        let mut guard = self.shared.lock().unwrap();
+    pub(super) fn enqueue_slot_request(self: &Arc<Self>, a: SlotRequest, w: Waiter) {
+        let mut guard = self.state.lock().unwrap();
         let i = &mut *guard;
         i.waiters.insert((a.front.clone(), a.slot_id), w);
         let mut out = Vec::new();
-        i.slot_table.request(&a, self.now(), &mut out);
-        self.carry_out(i, out);
+        i.slot_table.request(&a, self.now_ms(), &mut out);
+        self.apply_effects(i, out);
     }
 
-    pub(super) fn keeps(&self, service: &str) -> bool {
-        self.shared.lock().unwrap().slot_table.is_in_use(service)
+    pub(super) fn has_slots_in_use(&self, service: &str) -> bool {
+        self.state.lock().unwrap().slot_table.is_in_use(service)
     }
 
     /// Asks the leader what the platform lists of what is kept here.
-    pub(super) async fn ask_processors(self: Arc<Self>) {
+    pub(super) async fn poll_processors(self: Arc<Self>) {
         let period = Duration::from_millis((self.settings.constraints.converge_ms / 5.0) as u64);
         let mut digest = 0;
         loop {
             // At the start nothing is known of what runs already.
             tokio::time::sleep(if digest == 0 { period / 8 } else { period }).await;
-            let leader = self.known.borrow().leader.clone();
+            let leader = self.view.borrow().leader.clone();
             if leader.is_empty() {
                 continue;
             }
@@ -169,7 +170,7 @@
             {
                 digest = u.digest;
                 *self.processors.lock().unwrap() = u.processors;
-                self.arrange();
+                self.reassign_functions();
             }
         }
     }
@@ -181,40 +182,42 @@
             return HashSet::new();
         }
         let mut services: HashSet<String> = self.processors.lock().unwrap().iter().map(|p| p.service.clone()).collect();
-        services.extend(self.shared.lock().unwrap().slot_table.services_in_use());
+        services.extend(self.state.lock().unwrap().slot_table.services_in_use());
         services.retain(|service| known.configuration.service(service).is_none());
         services
     }
 
     /// The membership or the configuration has changed: who keeps what, and what is
     /// there of what is kept here.
-    pub(super) fn arrange(self: &Arc<Self>) {
-        let known = self.known.borrow().clone();
+    pub(super) fn reassign_functions(self: &Arc<Self>) {
+        let known = self.view.borrow().clone();
         let fronts = rpc::fronts(&known.membership);
         let before = self.fronts.lock().unwrap().clone();
         // One that begins again may be asked at once.
-        self.shared
+        self.state
             .lock()
             .unwrap()
-            .dark
+            .unresponsive
             .retain(|n, d| known.node(n, "functions").is_some_and(|x| x.incarnation == d.incarnation));
-        let dark = self.dark();
-        let passed_over = std::mem::replace(&mut self.shared.lock().unwrap().passed_over, dark.clone());
-        let moved = *before != fronts || dark != passed_over;
+        let dark = self.unresponsive_fronts();
+        let excluded_fronts = std::mem::replace(&mut self.state.lock().unwrap().excluded_fronts, dark.clone());
+        let moved = *before != fronts || dark != excluded_fronts;
         let there: HashSet<String> =
             known.membership.nodes.iter().filter(|n| n.role == "functions").map(|n| n.name.clone()).collect();
         *self.fronts.lock().unwrap() = Arc::new(fronts);
         let mut kept: HashMap<String, (Option<FunctionConfig>, Vec<ListedProcessor>)> = HashMap::new();
         for p in known.configuration.services.iter().filter(|p| p.is_function()) {
-            let mine = |dark: &[String]| self.slot_owner_but(&p.name, dark).is_some_and(|k| k.0 == self.settings.node);
-            if mine(&dark) || mine(&[]) || self.keeps(&p.name) {
+            let mine =
+                |dark: &[String]| self.slot_owner_excluding(&p.name, dark).is_some_and(|k| k.0 == self.settings.node);
+            if mine(&dark) || mine(&[]) || self.has_slots_in_use(&p.name) {
                 let facts = FunctionConfig { slots_per_processor: p.max_inflight as usize, boot_ms: p.boot_ms as u64 };
                 kept.insert(p.name.clone(), (Some(facts), Vec::new()));
             }
         }
         for service in self.removed_services(&known) {
-            let mine = |dark: &[String]| self.slot_owner_but(&service, dark).is_some_and(|k| k.0 == self.settings.node);
-            if mine(&dark) || mine(&[]) || self.keeps(&service) {
+            let mine =
+                |dark: &[String]| self.slot_owner_excluding(&service, dark).is_some_and(|k| k.0 == self.settings.node);
+            if mine(&dark) || mine(&[]) || self.has_slots_in_use(&service) {
                 kept.insert(service, (None, Vec::new()));
             }
         }
@@ -229,7 +232,7 @@
             }
         }
         let evacuated = known.assignments.evacuated_zones(known.membership.version);
-        self.step(|c, now, out| {
+        self.update_slots(|c, now, out| {
             c.set_evacuated_zones(evacuated, now, out);
             c.set_functions(&kept, now, out);
             if moved {
@@ -239,9 +242,9 @@
         // Those that keep what is held here now are told of it.
         let mut news: HashMap<String, Vec<SlotHeld>> = HashMap::new();
         {
-            let i = self.shared.lock().unwrap();
-            for (held, until) in i.holds.values() {
-                let now = self.slot_owner_but(&held.service, &dark);
+            let i = self.state.lock().unwrap();
+            for (held, until) in i.held_slots.values() {
+                let now = self.slot_owner_excluding(&held.service, &dark);
                 if let Some((name, inner)) = &now
                     && moved
                     && *name != self.settings.node
