--- a/crates/functions/src/gateway.rs
+++ b/crates/functions/src/gateway.rs
@@ -161,18 +161,18 @@
 
 /// Gives the slot back when nobody waits for it any more.
 struct SlotReleaseGuard<'a> {
-    functions: &'a Arc<FunctionGateway>,
+    gateway: &'a Arc<FunctionGateway>,
     /// The slot owner that was asked; None: whoever it is by then.
-    to: Option<(String, String)>,
-    back: Option<SlotRelease>,
+    owner: Option<(String, String)>,
+    release: Option<SlotRelease>,
 }
 
 impl Drop for SlotReleaseGuard<'_> {
     fn drop(&mut self) {
-        if let Some(b) = self.back.take() {
-            match self.to.take() {
-                Some(to) => self.functions.report_slot_to(Some(to), b),
-                None => self.functions.report_slot(b),
+        if let Some(b) = self.release.take() {
+            match self.owner.take() {
+                Some(to) => self.gateway.report_slot_to(Some(to), b),
+                None => self.gateway.report_slot(b),
             }
         }
     }
--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -85,9 +85,9 @@
             };
             let sent = Instant::now();
             // If nobody waits for this try any more, the processor drops it as well.
-            let mut guard = SlotReleaseGuard { functions: self, to: None, back: Some(back.clone()) };
+            let mut guard = SlotReleaseGuard { gateway: self, owner: None, release: Some(back.clone()) };
             let heard = self.pass(ask, &g, &back).await;
-            guard.back = None;
+            guard.release = None;
             let took = sent.elapsed().as_millis().max(1) as u32;
             let (ended, took) = match &heard {
                 Heard::Whole(_) => (SlotEnd::Done, if g.starting { 0 } else { took }),
--- a/crates/functions/src/gateway/slot_client.rs
+++ b/crates/functions/src/gateway/slot_client.rs
@@ -106,7 +106,7 @@
                 ..SlotRelease::default()
             };
             let to = Some((name.clone(), inner.clone()));
-            let mut given_up = SlotReleaseGuard { functions: self, to, back: Some(empty) };
+            let mut given_up = SlotReleaseGuard { gateway: self, owner: to, release: Some(empty) };
             let granted = if name == self.settings.node {
                 let (tx, rx) = oneshot::channel();
                 self.handle_slot_request(ask, Waiter::Local(tx));
@@ -151,7 +151,7 @@
                 }
             };
             if granted.is_some() {
-                given_up.back = None;
+                given_up.release = None;
             }
             drop(given_up);
             match granted {
