--- a/crates/functions/src/lib.rs
+++ b/crates/functions/src/lib.rs
@@ -1,6 +1,6 @@
-//! Front machines of a platform for functions: requests are passed on to
-//! processors that are started only when they are called. Each function has one
-//! slot owner among the fronts, which grants the slots of its processors.
+//! The front role of a functions platform: forwards requests to processors that are started on
+//! demand. Each function has one slot owner among the fronts, which grants the slots of its
+//! processors.
 
 mod gateway;
 mod slots;
