--- a/crates/functions/src/slots.rs
+++ b/crates/functions/src/slots.rs
@@ -1,12 +1,13 @@
-//! The slot owner of functions: who holds which slot of which processor. A state
-//! machine without I/O; its clock is in milliseconds.
+//! Slot allocation for functions: which front holds which slot of which processor. A state
+//! machine without I/O; the caller passes the current time in milliseconds.
 
 use rpc::messages::{SlotEnd, SlotHeld, SlotRelease, SlotRequest, StartAck};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// A front and its slot id: names a slot that is held or waited for.
+/// The name of a front and its slot id; identifies a slot that is held or requested.
 pub type Holder = (String, u64);
 
+/// An action that the caller has to carry out after a call to [`SlotTable`].
 #[derive(Debug, PartialEq, Clone)]
 pub enum Effect {
     Grant {
@@ -20,7 +21,7 @@
         holder: Holder,
         retry_ms: u64,
     },
-    /// `zones`: where it may be started; empty for anywhere.
+    /// Starts a processor in one of `zones`, or in any zone if `zones` is empty.
     Start {
         service: String,
         nonce: String,
@@ -32,14 +33,14 @@
     },
 }
 
-/// What a configuration says of a function.
+/// The configured properties of a function.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FunctionConfig {
     pub slots_per_processor: usize,
     pub boot_ms: u64,
 }
 
-/// A processor as the platform lists it.
+/// A processor in the platform's list.
 #[derive(Clone, Debug)]
 pub struct ListedProcessor {
     pub id: String,
@@ -49,567 +50,626 @@
 }
 
 #[derive(Debug)]
-struct Slots {
+struct ProcessorSlots {
     address: String,
-    /// Empty if it is not known.
+    /// Empty if unknown.
     zone: String,
-    /// Its zone is evacuated: it is granted to nobody.
-    evacuated: bool,
-    /// By whom, and until when at the most.
-    held: BTreeMap<Holder, u64>,
-    /// Somebody had an answer from it, or the platform lists it.
-    up: bool,
-    /// When its start was asked for.
-    began: u64,
-    /// Nothing is granted before that: it was silent, or fuller than was thought.
-    shy: u64,
-    draining: bool,
-    listed: bool,
-    /// Since when nobody holds a slot of it.
-    idle: u64,
+    /// Its zone is evacuated: none of its slots are granted.
+    is_evacuated: bool,
+    /// The holders of its slots, with the time at which each hold expires.
+    holders: BTreeMap<Holder, u64>,
+    /// A holder has reached it, or the platform lists it.
+    is_up: bool,
+    /// When its start was requested.
+    start_requested_at: u64,
+    /// No slot is granted before this time, because the processor did not answer.
+    unavailable_until: u64,
+    is_draining: bool,
+    is_listed: bool,
+    /// Since when none of its slots are held.
+    idle_since: u64,
 }
 
-struct Wait {
+struct WaitingRequest {
     holder: Holder,
-    until: u64,
-    hold: u64,
-    target_start: u64,
-    /// Of its route; 0 is the most urgent.
+    deadline: u64,
+    hold_ms: u64,
+    target_start_ms: u64,
+    /// The rank of the request's route; 0 is the most urgent.
     rank: u32,
-    /// Where the request may run; empty for anywhere.
+    /// The zones in which the request may run; empty for any zone.
     zones: Vec<String>,
 }
 
-/// A start that was asked for.
-struct Starting {
-    since: u64,
-    /// Where it may be; empty for anywhere.
+/// A start that was requested and not yet answered.
+struct PendingStart {
+    requested_at: u64,
+    /// The zones in which the processor may be started; empty for any zone.
     zones: Vec<String>,
 }
 
-/// One grant of so many goes to whoever has waited longest, whatever its rank: the more
-/// urgent ones alone could fill all slots.
-const GRANTS_TO_THE_OLDEST: u64 = 3;
+/// Every n-th grant goes to the request that has waited longest, whatever its rank. Otherwise the
+/// most urgent requests alone could take all slots.
+const OLDEST_GRANT_INTERVAL: u64 = 3;
 
 #[derive(Default)]
 struct FunctionSlots {
-    /// What the configuration says, or said last.
-    facts: Option<FunctionConfig>,
-    /// Whether the configuration in force names it.
+    /// The properties in the current configuration, or in the last one that named the function.
+    config: Option<FunctionConfig>,
+    /// Whether the current configuration names the function.
     is_configured: bool,
-    processors: BTreeMap<String, Slots>,
-    /// Starts that were asked for and not answered, by nonce.
-    starts: BTreeMap<String, Starting>,
-    waits: VecDeque<Wait>,
-    /// How long a slot is held by a run, about.
-    hold_ms: f64,
-    /// From when slots are granted: others may hold some that are not told yet.
-    open: u64,
-    /// Slots granted so far.
-    grants: u64,
-    /// When there was no room for a start.
-    full: u64,
-    /// Given up before they were heard of, and until when that is remembered.
-    over: HashMap<Holder, u64>,
+    processors: BTreeMap<String, ProcessorSlots>,
+    /// Starts that were requested and not yet answered, by nonce.
+    pending_starts: BTreeMap<String, PendingStart>,
+    waiting: VecDeque<WaitingRequest>,
+    /// Moving average of the time that a run holds a slot.
+    mean_hold_ms: f64,
+    /// No slot is granted before this time: fronts may hold slots that they have not reported yet.
+    grants_from: u64,
+    /// Number of slots granted so far.
+    grant_count: u64,
+    /// No start is requested before this time, because the platform had no room.
+    no_starts_until: u64,
+    /// Requests that were cancelled before they arrived, and until when each is remembered.
+    cancelled: HashMap<Holder, u64>,
 }
 
 #[derive(Clone, Copy)]
-struct Gone {
-    until: u64,
-    /// If it is listed still by then, its stop was lost, or nobody asked for one.
-    stop_again: u64,
+struct RemovedProcessor {
+    forget_at: u64,
+    /// When to request the stop again if the processor is still listed: the earlier request was
+    /// lost, or none was made.
+    stop_again_at: u64,
 }
 
-/// All functions that this front keeps.
+/// The slots of all functions that this front owns.
 pub struct SlotTable {
-    me: String,
+    node: String,
     incarnation: u64,
-    serial: u64,
+    last_start: u64,
     functions: HashMap<String, FunctionSlots>,
-    /// Zones whose processors are granted to nobody.
-    evacuated: HashSet<String>,
-    /// Processors that are gone: the platform's list shows them for a while still.
-    gone: HashMap<String, Gone>,
-    /// How long a new slot owner waits for what the fronts hold, and what makes a silent
-    /// processor worth another try.
-    settle: u64,
-    shy: u64,
+    /// Zones in which no slots are granted.
+    evacuated_zones: HashSet<String>,
+    /// Processors that have ended or were stopped; the platform lists them for a while longer.
+    removed: HashMap<String, RemovedProcessor>,
+    /// How long a new slot owner waits for the fronts to report the slots that they hold.
+    settle_ms: u64,
+    /// How long a processor that did not answer gets no requests.
+    backoff_ms: u64,
 }
 
 impl FunctionSlots {
     fn is_in_use(&self) -> bool {
-        !self.waits.is_empty() || self.processors.values().any(|processor| !processor.held.is_empty())
+        !self.waiting.is_empty() || self.processors.values().any(|processor| !processor.holders.is_empty())
     }
 
-    fn most(&self) -> usize {
-        self.facts.map_or(1, |f| f.slots_per_processor.max(1))
+    fn slots_per_processor(&self) -> usize {
+        self.config.map_or(1, |config| config.slots_per_processor.max(1))
     }
 
-    fn boot(&self) -> u64 {
-        self.facts.map_or(1000, |f| f.boot_ms.max(1))
+    fn boot_ms(&self) -> u64 {
+        self.config.map_or(1000, |config| config.boot_ms.max(1))
     }
 
-    /// Slots that come with processors that are on their way up in these zones.
-    fn coming(&self, zones: &[String]) -> usize {
-        let most = self.most();
-        let starting = self.processors.values().filter(|u| !u.up && u.is_open() && u.is_in(zones));
-        let slots: usize = starting.map(|u| most - u.held.len().min(most)).sum();
-        slots + self.starts.values().filter(|start| start.zones == zones).count() * most
+    /// Free slots of processors in these zones that are starting, including starts that are not
+    /// yet answered.
+    fn starting_slots(&self, zones: &[String]) -> usize {
+        let per_processor = self.slots_per_processor();
+        let starting = self.processors.values().filter(|p| !p.is_up && p.is_open() && p.is_in(zones));
+        let slots: usize = starting.map(|p| per_processor - p.holders.len().min(per_processor)).sum();
+        slots + self.pending_starts.values().filter(|start| start.zones == zones).count() * per_processor
     }
 
-    /// Slots of the processors in these zones that are up.
-    fn usable(&self, zones: &[String], now: u64) -> usize {
-        let usable = |u: &&Slots| u.up && u.is_open() && u.is_in(zones) && u.shy <= now;
-        self.processors.values().filter(usable).count() * self.most()
+    /// Slots, held or free, of the processors in these zones that are up.
+    fn usable_slots(&self, zones: &[String], now: u64) -> usize {
+        let is_usable = |p: &&ProcessorSlots| p.is_up && p.is_open() && p.is_in(zones) && p.unavailable_until <= now;
+        self.processors.values().filter(is_usable).count() * self.slots_per_processor()
     }
 
-    /// When the next slot will be there, about.
-    fn ready_in(&self, now: u64) -> u64 {
-        let begun = self.processors.values().filter(|u| !u.up && u.is_open()).map(|u| u.began);
-        let begun = begun.chain(self.starts.values().map(|start| start.since)).min().unwrap_or(now);
-        (begun + self.boot() * 3 / 2).saturating_sub(now)
+    /// Estimated time until the earliest requested start is up.
+    fn expected_wait_ms(&self, now: u64) -> u64 {
+        let starting = self.processors.values().filter(|p| !p.is_up && p.is_open()).map(|p| p.start_requested_at);
+        let pending = self.pending_starts.values().map(|start| start.requested_at);
+        let requested_at = starting.chain(pending).min().unwrap_or(now);
+        (requested_at + self.boot_ms() * 3 / 2).saturating_sub(now)
     }
 
-    /// The sets of zones that those who wait are bound to, each once.
-    fn waited_zones(&self) -> Vec<Vec<String>> {
-        let mut all: Vec<Vec<String>> = Vec::new();
-        for wait in &self.waits {
-            if !all.contains(&wait.zones) {
-                all.push(wait.zones.clone());
+    /// The distinct sets of zones to which waiting requests are restricted.
+    fn waiting_zone_sets(&self) -> Vec<Vec<String>> {
+        let mut sets: Vec<Vec<String>> = Vec::new();
+        for request in &self.waiting {
+            if !sets.contains(&request.zones) {
+                sets.push(request.zones.clone());
             }
         }
-        all
+        sets
     }
 
-    /// Takes out those whose time to wait is over.
-    fn take_over(&mut self, now: u64) -> Vec<Wait> {
-        let (over, left): (Vec<Wait>, Vec<Wait>) =
-            std::mem::take(&mut self.waits).into_iter().partition(|w| w.until <= now);
-        self.waits = left.into();
-        over
+    /// Removes and returns the waiting requests whose deadline has passed.
+    fn take_expired(&mut self, now: u64) -> Vec<WaitingRequest> {
+        let (expired, remaining): (Vec<WaitingRequest>, Vec<WaitingRequest>) =
+            std::mem::take(&mut self.waiting).into_iter().partition(|request| request.deadline <= now);
+        self.waiting = remaining.into();
+        expired
     }
 
-    /// Who gets the next slot, and of which processor: the oldest of the most urgent ones, or
-    /// in its turn the oldest of all.
-    fn next_grant(&mut self, now: u64) -> Option<(Wait, String)> {
+    /// Removes the request that gets the next slot, and names the processor. It is the oldest of
+    /// the most urgent requests, or the oldest of all every `OLDEST_GRANT_INTERVAL` grants.
+    fn next_grant(&mut self, now: u64) -> Option<(WaitingRequest, String)> {
         let free: Vec<(Vec<String>, String)> = self
-            .waited_zones()
+            .waiting_zone_sets()
             .into_iter()
-            .filter_map(|zones| Some((zones.clone(), self.free(&zones, now)?)))
+            .filter_map(|zones| Some((zones.clone(), self.processor_with_free_slot(&zones, now)?)))
             .collect();
-        let free_for = |w: &Wait| free.iter().find(|(zones, _)| *zones == w.zones).map(|(_, id)| id.clone());
-        let served = || self.waits.iter().enumerate().filter(|(_, w)| free_for(w).is_some());
-        let is_turn_of_oldest = (self.grants + 1).is_multiple_of(GRANTS_TO_THE_OLDEST);
-        let next = if is_turn_of_oldest { served().next() } else { served().min_by_key(|(_, w)| w.rank) };
-        let (at, processor) = next.and_then(|(at, w)| Some((at, free_for(w)?)))?;
-        self.grants += 1;
-        Some((self.waits.remove(at)?, processor))
+        let processor_for = |request: &WaitingRequest| {
+            free.iter().find(|(zones, _)| *zones == request.zones).map(|(_, processor)| processor.clone())
+        };
+        let servable = || self.waiting.iter().enumerate().filter(|(_, request)| processor_for(request).is_some());
+        let is_turn_of_oldest = (self.grant_count + 1).is_multiple_of(OLDEST_GRANT_INTERVAL);
+        let next =
+            if is_turn_of_oldest { servable().next() } else { servable().min_by_key(|(_, request)| request.rank) };
+        let (index, processor) = next.and_then(|(index, request)| Some((index, processor_for(request)?)))?;
+        self.grant_count += 1;
+        Some((self.waiting.remove(index)?, processor))
     }
 
-    /// A free slot in these zones: of the fullest processor that has one, so that others fall
-    /// idle. Of one that is starting only the first: whoever has it tells when it is up.
-    fn free(&self, zones: &[String], now: u64) -> Option<String> {
-        let most = self.most();
-        let is_free = |u: &Slots| u.up && u.is_open() && u.is_in(zones) && u.shy <= now && u.held.len() < most;
-        let up = self.processors.iter().filter(|(_, u)| is_free(u));
-        let best = up.max_by_key(|(_, u)| u.held.len());
-        let first = || {
+    /// A processor in these zones with a free slot: the fullest one, so that the others become idle
+    /// and can be stopped. If no processor that is up has a free slot, the oldest one that is
+    /// starting and has no holder yet: its first holder reports when it is up.
+    fn processor_with_free_slot(&self, zones: &[String], now: u64) -> Option<String> {
+        let per_processor = self.slots_per_processor();
+        let has_free_slot = |p: &ProcessorSlots| {
+            p.is_up && p.is_open() && p.is_in(zones) && p.unavailable_until <= now && p.holders.len() < per_processor
+        };
+        let up = self.processors.iter().filter(|(_, p)| has_free_slot(p));
+        let fullest = up.max_by_key(|(_, p)| p.holders.len());
+        let oldest_starting = || {
             self.processors
                 .iter()
-                .filter(|(_, u)| !u.up && u.is_open() && u.is_in(zones) && u.held.is_empty())
-                .min_by_key(|(_, u)| u.began)
+                .filter(|(_, p)| !p.is_up && p.is_open() && p.is_in(zones) && p.holders.is_empty())
+                .min_by_key(|(_, p)| p.start_requested_at)
         };
-        best.or_else(first).map(|(id, _)| id.clone())
+        fullest.or_else(oldest_starting).map(|(id, _)| id.clone())
     }
 }
 
 impl SlotTable {
-    pub fn new(me: &str, incarnation: u64, settle: u64, shy: u64) -> SlotTable {
+    /// An empty table of the front `node`. `settle_ms` is how long a new slot owner waits for the
+    /// fronts to report the slots that they hold, and `backoff_ms` how long a processor that did
+    /// not answer gets no requests.
+    pub fn new(node: &str, incarnation: u64, settle_ms: u64, backoff_ms: u64) -> SlotTable {
         SlotTable {
-            me: me.into(),
+            node: node.into(),
             incarnation,
-            serial: 0,
+            last_start: 0,
             functions: HashMap::new(),
-            evacuated: HashSet::new(),
-            gone: HashMap::new(),
-            settle,
-            shy,
+            evacuated_zones: HashSet::new(),
+            removed: HashMap::new(),
+            settle_ms,
+            backoff_ms,
         }
     }
 
-    /// The zones that are evacuated now: their processors are granted to nobody, and end once
-    /// they are idle.
-    pub fn set_evacuated_zones(&mut self, zones: HashSet<String>, now: u64, out: &mut Vec<Effect>) {
-        if zones == self.evacuated {
+    /// Replaces the set of evacuated zones. Slots of their processors are not granted, and the
+    /// processors are stopped once they are idle.
+    pub fn set_evacuated_zones(&mut self, zones: HashSet<String>, now: u64, effects: &mut Vec<Effect>) {
+        if zones == self.evacuated_zones {
             return;
         }
-        for processor in self.functions.values_mut().flat_map(|f| f.processors.values_mut()) {
-            processor.evacuated = zones.contains(&processor.zone);
+        for processor in self.functions.values_mut().flat_map(|function| function.processors.values_mut()) {
+            processor.is_evacuated = zones.contains(&processor.zone);
         }
-        self.evacuated = zones;
+        self.evacuated_zones = zones;
         let services: Vec<String> = self.functions.keys().cloned().collect();
         for service in services {
-            self.serve(&service, now, out);
+            self.schedule(&service, now, effects);
         }
     }
 
-    /// Functions kept here, and how their slots stand: units, held, waiting.
+    /// For each function in this table its name, and how many processors, held slots and waiting
+    /// requests it has.
     pub fn usage(&self) -> Vec<(&str, usize, usize, usize)> {
-        let mut all: Vec<(&str, usize, usize, usize)> = self
+        let mut usage: Vec<(&str, usize, usize, usize)> = self
             .functions
             .iter()
-            .map(|(n, c)| {
-                (n.as_str(), c.processors.len(), c.processors.values().map(|u| u.held.len()).sum(), c.waits.len())
+            .map(|(service, function)| {
+                let held = function.processors.values().map(|processor| processor.holders.len()).sum();
+                (service.as_str(), function.processors.len(), held, function.waiting.len())
             })
             .collect();
-        all.sort_unstable();
-        all
+        usage.sort_unstable();
+        usage
     }
 
-    /// Whether anything is held or waited for here, though another may keep it.
+    /// Whether this table has a held slot or a waiting request of the service, even if another
+    /// front owns the service by now.
     pub fn is_in_use(&self, service: &str) -> bool {
         self.functions.get(service).is_some_and(FunctionSlots::is_in_use)
     }
 
-    /// The services of which anything is held or waited for here.
+    /// The services of which this table has held slots or waiting requests.
     pub fn services_in_use(&self) -> impl Iterator<Item = String> {
         self.functions.iter().filter(|(_, function)| function.is_in_use()).map(|(service, _)| service.clone())
     }
 
     fn function(&mut self, service: &str, now: u64) -> &mut FunctionSlots {
-        let open = now + self.settle;
-        self.functions.entry(service.to_owned()).or_insert_with(|| FunctionSlots { open, ..FunctionSlots::default() })
+        let grants_from = now + self.settle_ms;
+        self.functions
+            .entry(service.to_owned())
+            .or_insert_with(|| FunctionSlots { grants_from, ..FunctionSlots::default() })
     }
 
-    /// The functions that this front keeps from now on, with what the platform lists
-    /// of each. What others keep is dropped, and who waits for it is sent there.
-    /// A service without facts has left the configuration: its processors serve what is
-    /// under way, and are stopped.
+    /// Sets the functions that this front owns from now on, each with the processors that the
+    /// platform lists. All other functions are dropped, and their waiting requests are refused so
+    /// that they go to the new slot owner. A function without a configuration was removed from it:
+    /// its processors complete the requests under way, and are then stopped.
     pub fn set_functions(
         &mut self,
-        kept: &HashMap<String, (Option<FunctionConfig>, Vec<ListedProcessor>)>,
+        owned: &HashMap<String, (Option<FunctionConfig>, Vec<ListedProcessor>)>,
         now: u64,
-        out: &mut Vec<Effect>,
+        effects: &mut Vec<Effect>,
     ) {
-        let gone: Vec<String> = self.functions.keys().filter(|p| !kept.contains_key(*p)).cloned().collect();
-        for p in gone {
-            for w in self.functions.remove(&p).into_iter().flat_map(|c| c.waits) {
-                out.push(Effect::Refuse { holder: w.holder, retry_ms: 0 });
+        let dropped: Vec<String> =
+            self.functions.keys().filter(|service| !owned.contains_key(*service)).cloned().collect();
+        for service in dropped {
+            for request in self.functions.remove(&service).into_iter().flat_map(|function| function.waiting) {
+                effects.push(Effect::Refuse { holder: request.holder, retry_ms: 0 });
             }
         }
-        let shy = self.shy;
-        self.gone.retain(|_, g| g.until > now);
-        for (service, (facts, listed)) in kept {
-            let gone = &mut self.gone;
-            for l in listed.iter().filter(|l| !l.draining) {
-                // It takes room for as long as it stands there.
-                if let Some(g) = gone.get_mut(&l.id).filter(|g| g.stop_again <= now) {
-                    g.stop_again = now + 4 * shy;
+        let backoff_ms = self.backoff_ms;
+        self.removed.retain(|_, removed| removed.forget_at > now);
+        for (service, (config, listed)) in owned {
+            let removed = &mut self.removed;
+            for processor in listed.iter().filter(|processor| !processor.draining) {
+                // A processor that was removed here and is still listed takes up room.
+                if let Some(removed) = removed.get_mut(&processor.id).filter(|removed| removed.stop_again_at <= now) {
+                    removed.stop_again_at = now + 4 * backoff_ms;
                     telemetry::count("stops_again");
-                    out.push(Effect::Stop { service: service.clone(), processor: l.id.clone() });
+                    effects.push(Effect::Stop { service: service.clone(), processor: processor.id.clone() });
                 }
             }
-            let open = now + self.settle;
+            let grants_from = now + self.settle_ms;
             if !self.functions.contains_key(service) && listed.is_empty() {
-                // Nothing runs and nobody asked: nothing to remember. But others may
-                // hold slots of what is not listed yet.
-                let function =
-                    FunctionSlots { open, facts: *facts, is_configured: facts.is_some(), ..FunctionSlots::default() };
+                // Nothing is listed and nothing was requested here. The settling time still
+                // applies: other fronts may hold slots of processors that are not listed yet.
+                let function = FunctionSlots {
+                    grants_from,
+                    config: *config,
+                    is_configured: config.is_some(),
+                    ..FunctionSlots::default()
+                };
                 self.functions.insert(service.clone(), function);
                 continue;
             }
-            let c = self
+            let function = self
                 .functions
                 .entry(service.clone())
-                .or_insert_with(|| FunctionSlots { open, ..FunctionSlots::default() });
-            c.facts = facts.or(c.facts);
-            c.is_configured = facts.is_some();
-            let ids: HashSet<&str> = listed.iter().map(|l| l.id.as_str()).collect();
-            // Was listed and is not any more: it has ended. One that was never listed
-            // may be starting still.
-            c.processors.retain(|id, u| ids.contains(id.as_str()) || !u.listed);
-            for l in listed.iter().filter(|l| !gone.contains_key(&l.id)) {
-                let u = c.processors.entry(l.id.clone()).or_insert_with(|| Slots::new(&l.address, now));
-                (u.up, u.listed, u.draining) = (true, true, l.draining);
-                u.evacuated = self.evacuated.contains(&l.zone);
-                u.zone.clone_from(&l.zone);
+                .or_insert_with(|| FunctionSlots { grants_from, ..FunctionSlots::default() });
+            function.config = config.or(function.config);
+            function.is_configured = config.is_some();
+            let ids: HashSet<&str> = listed.iter().map(|processor| processor.id.as_str()).collect();
+            // A processor that was listed before and is not any more has ended. One that was never
+            // listed may still be starting.
+            function.processors.retain(|id, processor| ids.contains(id.as_str()) || !processor.is_listed);
+            for listed in listed.iter().filter(|listed| !removed.contains_key(&listed.id)) {
+                let processor = function
+                    .processors
+                    .entry(listed.id.clone())
+                    .or_insert_with(|| ProcessorSlots::new(&listed.address, now));
+                (processor.is_up, processor.is_listed, processor.is_draining) = (true, true, listed.draining);
+                processor.is_evacuated = self.evacuated_zones.contains(&listed.zone);
+                processor.zone.clone_from(&listed.zone);
             }
-            self.serve(service, now, out);
+            self.schedule(service, now, effects);
         }
     }
 
-    /// A front wants a slot.
-    pub fn request(&mut self, a: &SlotRequest, now: u64, out: &mut Vec<Effect>) {
-        let c = self.function(&a.service, now);
-        let holder = (a.front.clone(), a.slot_id);
-        if c.over.contains_key(&holder) {
-            out.push(Effect::Refuse { holder, retry_ms: 0 });
+    /// Handles a front's request for a slot.
+    pub fn request(&mut self, request: &SlotRequest, now: u64, effects: &mut Vec<Effect>) {
+        let function = self.function(&request.service, now);
+        let holder = (request.front.clone(), request.slot_id);
+        if function.cancelled.contains_key(&holder) {
+            effects.push(Effect::Refuse { holder, retry_ms: 0 });
             return;
         }
-        // Asked again, as its answer was lost: the same slot, and the same wait.
-        if let Some((id, u)) = c.processors.iter().find(|(_, u)| u.held.contains_key(&holder)) {
-            out.push(Effect::Grant {
+        // A repeated request, whose answer was lost, gets the same slot or keeps a single place in
+        // the queue.
+        if let Some((id, processor)) =
+            function.processors.iter().find(|(_, processor)| processor.holders.contains_key(&holder))
+        {
+            effects.push(Effect::Grant {
                 holder,
                 processor: id.clone(),
-                address: u.address.clone(),
-                zone: u.zone.clone(),
-                starting: !u.up,
+                address: processor.address.clone(),
+                zone: processor.zone.clone(),
+                starting: !processor.is_up,
             });
             return;
         }
-        c.waits.retain(|w| w.holder != holder);
-        c.waits.push_back(Wait {
+        function.waiting.retain(|waiting| waiting.holder != holder);
+        function.waiting.push_back(WaitingRequest {
             holder,
-            until: now + u64::from(a.patience_ms),
-            hold: u64::from(a.hold_ms),
-            target_start: u64::from(a.target_start_ms),
-            rank: a.rank,
-            zones: a.zones.clone(),
+            deadline: now + u64::from(request.patience_ms),
+            hold_ms: u64::from(request.hold_ms),
+            target_start_ms: u64::from(request.target_start_ms),
+            rank: request.rank,
+            zones: request.zones.clone(),
         });
-        self.serve(&a.service, now, out);
+        self.schedule(&request.service, now, effects);
     }
 
-    /// A slot comes back, or its holder says that the processor is up.
-    pub fn release(&mut self, b: &SlotRelease, now: u64, out: &mut Vec<Effect>) {
-        let shy = self.shy;
-        let Some(c) = self.functions.get_mut(&b.service) else { return };
-        let boot = c.boot();
-        let holder = (b.front.clone(), b.slot_id);
-        let end = SlotEnd::try_from(b.end).unwrap_or(SlotEnd::Done);
-        if b.took_ms > 0 {
-            let took = f64::from(b.took_ms);
-            c.hold_ms = if c.hold_ms == 0.0 { took } else { c.hold_ms * 0.9 + took * 0.1 };
+    /// Handles a front's report on a slot: it is released, its request is cancelled, or its
+    /// processor is up.
+    pub fn release(&mut self, release: &SlotRelease, now: u64, effects: &mut Vec<Effect>) {
+        let backoff_ms = self.backoff_ms;
+        let Some(function) = self.functions.get_mut(&release.service) else { return };
+        let boot_ms = function.boot_ms();
+        let holder = (release.front.clone(), release.slot_id);
+        let end = SlotEnd::try_from(release.end).unwrap_or(SlotEnd::Done);
+        if release.took_ms > 0 {
+            let took_ms = f64::from(release.took_ms);
+            function.mean_hold_ms =
+                if function.mean_hold_ms == 0.0 { took_ms } else { function.mean_hold_ms * 0.9 + took_ms * 0.1 };
         }
-        if b.processor.is_empty() {
-            // Given up by one that does not know whether it was granted.
-            let waiting = c.waits.len();
-            c.waits.retain(|w| w.holder != holder);
-            let mut known = c.waits.len() < waiting;
-            for u in c.processors.values_mut() {
-                if u.held.remove(&holder).is_some() {
-                    known = true;
-                    if u.held.is_empty() {
-                        u.idle = now;
+        if release.processor.is_empty() {
+            // The front cancels its request and does not know whether a slot was granted.
+            let waiting = function.waiting.len();
+            function.waiting.retain(|request| request.holder != holder);
+            let mut is_known = function.waiting.len() < waiting;
+            for processor in function.processors.values_mut() {
+                if processor.holders.remove(&holder).is_some() {
+                    is_known = true;
+                    if processor.holders.is_empty() {
+                        processor.idle_since = now;
                     }
                 }
             }
-            if !known {
-                // By a connection that was replaced the ask may come yet.
-                c.over.insert(holder.clone(), now + 4 * shy);
+            if !is_known {
+                // The request was sent on a connection that was replaced, and may still arrive.
+                function.cancelled.insert(holder.clone(), now + 4 * backoff_ms);
             }
         }
-        if let Some(u) = c.processors.get_mut(&b.processor) {
+        if let Some(processor) = function.processors.get_mut(&release.processor) {
             if end != SlotEnd::Up {
-                u.held.remove(&holder);
-                if u.held.is_empty() {
-                    u.idle = now;
+                processor.holders.remove(&holder);
+                if processor.holders.is_empty() {
+                    processor.idle_since = now;
                 }
             }
             match end {
-                SlotEnd::Done | SlotEnd::Up => u.up = true,
-                // Somebody holds a slot that was not granted here, as by another
-                // slot owner: one less is granted until that is over.
+                SlotEnd::Done | SlotEnd::Up => processor.is_up = true,
+                // A front holds a slot that was not granted here but, for example, by another slot
+                // owner. One slot less is granted until that request can be expected to have ended.
                 SlotEnd::Full => {
-                    u.held.insert((String::new(), b.slot_id), now + (2 * boot).max(shy / 2));
+                    let expires_at = now + (2 * boot_ms).max(backoff_ms / 2);
+                    processor.holders.insert((String::new(), release.slot_id), expires_at);
                 }
-                SlotEnd::Dark => u.shy = now + shy,
+                SlotEnd::Dark => processor.unavailable_until = now + backoff_ms,
                 SlotEnd::Gone => {
-                    c.processors.remove(&b.processor);
-                    self.gone.insert(b.processor.clone(), Gone { until: now + 40 * shy, stop_again: now + 4 * shy });
+                    function.processors.remove(&release.processor);
+                    self.removed.insert(release.processor.clone(), RemovedProcessor::new(now, backoff_ms));
                 }
             }
         }
-        self.serve(&b.service, now, out);
+        self.schedule(&release.service, now, effects);
     }
 
-    /// What a front holds, told because this one is the slot owner now.
-    pub fn record_held(&mut self, front: &str, h: &SlotHeld, now: u64) {
-        if self.gone.contains_key(&h.processor) {
+    /// Records a slot that a front holds and reports because this front has become the slot owner.
+    pub fn record_held(&mut self, front: &str, held: &SlotHeld, now: u64) {
+        if self.removed.contains_key(&held.processor) {
             return;
         }
-        let is_evacuated = self.evacuated.contains(&h.zone);
-        let c = self.function(&h.service, now);
-        let u = c.processors.entry(h.processor.clone()).or_insert_with(|| Slots::new(&h.address, now));
-        if u.zone.is_empty() {
-            u.zone.clone_from(&h.zone);
-            u.evacuated = is_evacuated;
+        let is_evacuated = self.evacuated_zones.contains(&held.zone);
+        let function = self.function(&held.service, now);
+        let processor = function
+            .processors
+            .entry(held.processor.clone())
+            .or_insert_with(|| ProcessorSlots::new(&held.address, now));
+        if processor.zone.is_empty() {
+            processor.zone.clone_from(&held.zone);
+            processor.is_evacuated = is_evacuated;
         }
-        u.held.insert((front.to_owned(), h.slot_id), now + u64::from(h.hold_ms));
+        processor.holders.insert((front.to_owned(), held.slot_id), now + u64::from(held.hold_ms));
     }
 
-    /// The platform has a processor on its way: that of `ack`, which names one.
-    pub fn processor_started(&mut self, service: &str, nonce: &str, ack: &StartAck, now: u64, out: &mut Vec<Effect>) {
-        let Some(c) = self.functions.get_mut(service) else { return };
-        let began = c.starts.remove(nonce).map_or(now, |start| start.since);
-        if !self.gone.contains_key(&ack.processor) {
-            let (zone, evacuated) = (ack.zone.clone(), self.evacuated.contains(&ack.zone));
-            let starting = Slots { began, zone, evacuated, ..Slots::new(&ack.address, now) };
-            c.processors.entry(ack.processor.clone()).or_insert(starting);
+    /// The platform is starting the processor that `ack` names, for the request `nonce`.
+    pub fn processor_started(
+        &mut self,
+        service: &str,
+        nonce: &str,
+        ack: &StartAck,
+        now: u64,
+        effects: &mut Vec<Effect>,
+    ) {
+        let Some(function) = self.functions.get_mut(service) else { return };
+        let start_requested_at = function.pending_starts.remove(nonce).map_or(now, |start| start.requested_at);
+        if !self.removed.contains_key(&ack.processor) {
+            let (zone, is_evacuated) = (ack.zone.clone(), self.evacuated_zones.contains(&ack.zone));
+            let starting =
+                ProcessorSlots { start_requested_at, zone, is_evacuated, ..ProcessorSlots::new(&ack.address, now) };
+            function.processors.entry(ack.processor.clone()).or_insert(starting);
         }
-        self.serve(service, now, out);
+        self.schedule(service, now, effects);
     }
 
-    /// The platform would not, or nobody can say.
-    pub fn start_failed(&mut self, service: &str, nonce: &str, full: bool, now: u64, out: &mut Vec<Effect>) {
-        let shy = self.shy;
-        let Some(c) = self.functions.get_mut(service) else { return };
-        c.starts.remove(nonce);
-        if full {
-            c.full = now + shy;
+    /// A start was refused, or its outcome is unknown. `is_full` says that the platform has no
+    /// room.
+    pub fn start_failed(&mut self, service: &str, nonce: &str, is_full: bool, now: u64, effects: &mut Vec<Effect>) {
+        let backoff_ms = self.backoff_ms;
+        let Some(function) = self.functions.get_mut(service) else { return };
+        function.pending_starts.remove(nonce);
+        if is_full {
+            function.no_starts_until = now + backoff_ms;
         }
-        self.serve(service, now, out);
+        self.schedule(service, now, effects);
     }
 
-    /// Fronts that are no longer there give back what they held.
-    pub fn retain_fronts(&mut self, there: &HashSet<String>, now: u64, out: &mut Vec<Effect>) {
+    /// Frees the slots and drops the requests of all fronts that are not in `present`.
+    pub fn retain_fronts(&mut self, present: &HashSet<String>, now: u64, effects: &mut Vec<Effect>) {
         let services: Vec<String> = self.functions.keys().cloned().collect();
-        for p in services {
-            if let Some(c) = self.functions.get_mut(&p) {
-                for u in c.processors.values_mut() {
-                    u.held.retain(|h, _| h.0.is_empty() || there.contains(&h.0));
+        for service in services {
+            if let Some(function) = self.functions.get_mut(&service) {
+                for processor in function.processors.values_mut() {
+                    processor.holders.retain(|holder, _| holder.0.is_empty() || present.contains(&holder.0));
                 }
-                c.waits.retain(|w| there.contains(&w.holder.0));
+                function.waiting.retain(|request| present.contains(&request.holder.0));
             }
-            self.serve(&p, now, out);
+            self.schedule(&service, now, effects);
         }
     }
 
-    /// What comes with time: slot ids that are over, waits that are, idle processors.
-    pub fn tick(&mut self, now: u64, out: &mut Vec<Effect>) {
+    /// Expires holds and waiting requests, and stops processors that are idle or do not come up.
+    pub fn tick(&mut self, now: u64, effects: &mut Vec<Effect>) {
         let services: Vec<String> = self.functions.keys().cloned().collect();
-        for p in services {
-            let Some(c) = self.functions.get_mut(&p) else { continue };
-            let boot = c.boot();
-            c.over.retain(|_, until| *until > now);
-            for u in c.processors.values_mut() {
-                let before = u.held.len();
-                u.held.retain(|_, until| *until > now);
-                if u.held.len() < before {
-                    telemetry::add("slots_overdue", (before - u.held.len()) as u64);
+        for service in services {
+            let Some(function) = self.functions.get_mut(&service) else { continue };
+            let boot_ms = function.boot_ms();
+            function.cancelled.retain(|_, until| *until > now);
+            for processor in function.processors.values_mut() {
+                let held = processor.holders.len();
+                processor.holders.retain(|_, expires_at| *expires_at > now);
+                if processor.holders.len() < held {
+                    telemetry::add("slots_overdue", (held - processor.holders.len()) as u64);
                 }
-                if u.held.is_empty() && before > 0 {
-                    u.idle = now;
+                if processor.holders.is_empty() && held > 0 {
+                    processor.idle_since = now;
                 }
             }
-            // One that does not come up is given up, and stopped in case it does.
-            let late = |u: &Slots| !u.up && u.held.is_empty() && now > u.began + 5 * boot;
-            let late: Vec<String> = c.processors.iter().filter(|(_, u)| late(u)).map(|(id, _)| id.clone()).collect();
-            let mut stop = late;
-            // What left the configuration is not asked for again, but by fronts that do not
-            // know of that yet.
-            let stop_after = if c.is_configured { 4 * boot } else { 4 * self.shy };
-            let idle = |u: &Slots| u.up && !u.draining && u.held.is_empty() && now > u.idle + stop_after;
-            if c.waits.is_empty() {
-                stop.extend(c.processors.iter().filter(|(_, u)| idle(u)).map(|(id, _)| id.clone()));
+            // A processor that does not come up in time is removed, and stopped in case it comes up
+            // later.
+            let is_late =
+                |p: &ProcessorSlots| !p.is_up && p.holders.is_empty() && now > p.start_requested_at + 5 * boot_ms;
+            let late: Vec<String> =
+                function.processors.iter().filter(|(_, p)| is_late(p)).map(|(id, _)| id.clone()).collect();
+            let mut to_stop = late;
+            // A function that was removed from the configuration is requested again only by fronts
+            // that have not received the change yet.
+            let stop_after_ms = if function.is_configured { 4 * boot_ms } else { 4 * self.backoff_ms };
+            let is_idle = |p: &ProcessorSlots| {
+                p.is_up && !p.is_draining && p.holders.is_empty() && now > p.idle_since + stop_after_ms
+            };
+            if function.waiting.is_empty() {
+                to_stop.extend(function.processors.iter().filter(|(_, p)| is_idle(p)).map(|(id, _)| id.clone()));
             }
-            for id in stop {
-                c.processors.remove(&id);
-                let shy = self.shy;
-                self.gone.insert(id.clone(), Gone { until: now + 40 * shy, stop_again: now + 4 * shy });
-                out.push(Effect::Stop { service: p.clone(), processor: id });
+            for id in to_stop {
+                function.processors.remove(&id);
+                self.removed.insert(id.clone(), RemovedProcessor::new(now, self.backoff_ms));
+                effects.push(Effect::Stop { service: service.clone(), processor: id });
             }
-            self.serve(&p, now, out);
+            self.schedule(&service, now, effects);
         }
     }
 
-    /// Grants what can be granted, refuses what has waited too long or cannot be
-    /// served in time, and asks for starts.
-    fn serve(&mut self, service: &str, now: u64, out: &mut Vec<Effect>) {
-        let Some(c) = self.functions.get_mut(service) else { return };
-        if c.waits.is_empty() {
+    /// Grants the free slots, refuses the requests whose deadline has passed or that cannot be
+    /// served in time, and requests starts.
+    fn schedule(&mut self, service: &str, now: u64, effects: &mut Vec<Effect>) {
+        let Some(function) = self.functions.get_mut(service) else { return };
+        if function.waiting.is_empty() {
             return;
         }
-        for w in c.take_over(now) {
-            out.push(Effect::Refuse { holder: w.holder, retry_ms: c.ready_in(now) });
+        for request in function.take_expired(now) {
+            effects.push(Effect::Refuse { holder: request.holder, retry_ms: function.expected_wait_ms(now) });
         }
-        while c.open <= now
-            && let Some((w, id)) = c.next_grant(now)
+        while function.grants_from <= now
+            && let Some((request, id)) = function.next_grant(now)
         {
-            if let Some(u) = c.processors.get_mut(&id) {
-                u.held.insert(w.holder.clone(), now + w.hold.max(w.until - now));
-                out.push(Effect::Grant {
-                    holder: w.holder,
+            if let Some(processor) = function.processors.get_mut(&id) {
+                let expires_at = now + request.hold_ms.max(request.deadline - now);
+                processor.holders.insert(request.holder.clone(), expires_at);
+                effects.push(Effect::Grant {
+                    holder: request.holder,
                     processor: id,
-                    address: u.address.clone(),
-                    zone: u.zone.clone(),
-                    starting: !u.up,
+                    address: processor.address.clone(),
+                    zone: processor.zone.clone(),
+                    starting: !processor.is_up,
                 });
             }
         }
-        if c.waits.is_empty() || c.open > now {
+        if function.waiting.is_empty() || function.grants_from > now {
             return;
         }
-        for zones in c.waited_zones() {
-            self.ask_for_starts(service, &zones, now, out);
+        for zones in function.waiting_zone_sets() {
+            self.request_starts(service, &zones, now, effects);
         }
     }
 
-    /// Asks for as many starts as those need who wait for slots in these zones, and refuses
-    /// what no start under way can serve in time.
-    fn ask_for_starts(&mut self, service: &str, zones: &[String], now: u64, out: &mut Vec<Effect>) {
-        let Some(c) = self.functions.get_mut(service) else { return };
-        // How long the last of them would wait for the processors that are up, against
-        // how long a start takes and what the aim allows.
-        let usable = c.usable(zones, now);
-        let boot = c.boot();
-        let bound = || c.waits.iter().filter(|w| w.zones == zones);
-        let waiting = bound().count();
-        let target_start = bound().map(|w| w.target_start).min().unwrap_or(boot);
-        let hold = if c.hold_ms > 0.0 { c.hold_ms } else { boot as f64 / 8.0 };
-        let patience = (target_start as f64 / 4.0).max(1.0);
+    /// Requests the starts that are needed by the waiting requests restricted to `zones`, and
+    /// refuses those that no start under way can serve in time.
+    fn request_starts(&mut self, service: &str, zones: &[String], now: u64, effects: &mut Vec<Effect>) {
+        let Some(function) = self.functions.get_mut(service) else { return };
+        // Compares how long the last waiting request would wait for the processors that are up with
+        // a quarter of the shortest target. Until a run has been measured, an eighth of the time
+        // that a start takes stands in for the hold time.
+        let usable = function.usable_slots(zones, now);
+        let boot_ms = function.boot_ms();
+        let restricted = || function.waiting.iter().filter(|request| request.zones == zones);
+        let waiting = restricted().count();
+        let target_start_ms = restricted().map(|request| request.target_start_ms).min().unwrap_or(boot_ms);
+        let hold_ms = if function.mean_hold_ms > 0.0 { function.mean_hold_ms } else { boot_ms as f64 / 8.0 };
+        let acceptable_wait_ms = (target_start_ms as f64 / 4.0).max(1.0);
         let wanted = if usable == 0 {
             waiting
-        } else if waiting as f64 * hold / usable as f64 > patience {
-            ((waiting as f64 * hold / patience) as usize).min(2 * usable).saturating_sub(usable)
+        } else if waiting as f64 * hold_ms / usable as f64 > acceptable_wait_ms {
+            ((waiting as f64 * hold_ms / acceptable_wait_ms) as usize).min(2 * usable).saturating_sub(usable)
         } else {
             0
         };
-        let coming = c.coming(zones);
-        let most = c.most();
-        if c.full <= now && wanted > coming {
-            for _ in 0..(wanted - coming).div_ceil(most) {
-                self.serial += 1;
-                let nonce = format!("{}-{}-{:x}", self.me, self.serial, self.incarnation);
+        let starting = function.starting_slots(zones);
+        let per_processor = function.slots_per_processor();
+        if function.no_starts_until <= now && wanted > starting {
+            for _ in 0..(wanted - starting).div_ceil(per_processor) {
+                self.last_start += 1;
+                let nonce = format!("{}-{}-{:x}", self.node, self.last_start, self.incarnation);
                 let nonce = nonce[nonce.len().saturating_sub(64)..].to_owned();
-                c.starts.insert(nonce.clone(), Starting { since: now, zones: zones.to_vec() });
-                out.push(Effect::Start { service: service.to_owned(), nonce, zones: zones.to_vec() });
+                let pending = PendingStart { requested_at: now, zones: zones.to_vec() };
+                function.pending_starts.insert(nonce.clone(), pending);
+                effects.push(Effect::Start { service: service.to_owned(), nonce, zones: zones.to_vec() });
             }
         }
-        // What no start under way can serve in time is told at once.
+        // Refuses at once what no start under way can serve before its deadline.
         if usable == 0 {
-            let ready = if c.coming(zones) == 0 { u64::MAX } else { now + c.ready_in(now) };
-            let (keep, over): (VecDeque<Wait>, VecDeque<Wait>) =
-                std::mem::take(&mut c.waits).into_iter().partition(|w| w.zones != zones || w.until >= ready);
-            c.waits = keep;
-            let retry_ms = c.ready_in(now);
-            out.extend(over.into_iter().map(|w| Effect::Refuse { holder: w.holder, retry_ms }));
+            let ready_at =
+                if function.starting_slots(zones) == 0 { u64::MAX } else { now + function.expected_wait_ms(now) };
+            let (remaining, refused): (VecDeque<WaitingRequest>, VecDeque<WaitingRequest>) =
+                std::mem::take(&mut function.waiting)
+                    .into_iter()
+                    .partition(|request| request.zones != zones || request.deadline >= ready_at);
+            function.waiting = remaining;
+            let retry_ms = function.expected_wait_ms(now);
+            effects.extend(refused.into_iter().map(|request| Effect::Refuse { holder: request.holder, retry_ms }));
         }
     }
 }
 
-impl Slots {
+impl RemovedProcessor {
+    fn new(now: u64, backoff_ms: u64) -> RemovedProcessor {
+        RemovedProcessor { forget_at: now + 40 * backoff_ms, stop_again_at: now + 4 * backoff_ms }
+    }
+}
+
+impl ProcessorSlots {
+    fn new(address: &str, now: u64) -> ProcessorSlots {
+        ProcessorSlots {
+            address: address.to_owned(),
+            zone: String::new(),
+            is_evacuated: false,
+            holders: BTreeMap::new(),
+            is_up: false,
+            start_requested_at: now,
+            unavailable_until: 0,
+            is_draining: false,
+            is_listed: false,
+            idle_since: now,
+        }
+    }
+
     /// Whether its slots may be granted.
     fn is_open(&self) -> bool {
-        !self.draining && !self.evacuated
+        !self.is_draining && !self.is_evacuated
     }
 
-    /// Whether it is in one of these zones, of which none means anywhere.
+    /// Whether it is in one of these zones; an empty list means any zone.
     fn is_in(&self, zones: &[String]) -> bool {
         zones.is_empty() || zones.contains(&self.zone)
     }
-
-    fn new(address: &str, now: u64) -> Slots {
-        Slots {
-            address: address.to_owned(),
-            zone: String::new(),
-            evacuated: false,
-            held: BTreeMap::new(),
-            up: false,
-            began: now,
-            shy: 0,
-            draining: false,
-            listed: false,
-            idle: now,
-        }
-    }
 }
