--- a/crates/functions/src/gateway.rs
+++ b/crates/functions/src/gateway.rs
@@ -1,5 +1,5 @@
-//! The shell: takes clients' requests, gets a slot for each, passes it on, and
-//! gives the answer back unchanged.
+//! The gateway of the front role: accepts clients' requests, acquires a slot for each, forwards it
+//! and returns the answer unchanged.
 
 mod forward;
 mod slot_client;
@@ -18,24 +18,25 @@
 use std::time::{Duration, Instant};
 use tokio::sync::{oneshot, watch};
 
-/// Where an ask for a slot is answered to.
+/// Where the answer to a slot request goes: to another front, or to a request of this one.
 enum Waiter {
     Remote(Responder),
     Local(oneshot::Sender<SlotGrant>),
 }
 
 impl Waiter {
-    fn send(self, g: SlotGrant) {
+    fn send(self, grant: SlotGrant) {
         match self {
-            Waiter::Remote(p) => p.send(Body::SlotGrant(g)),
-            Waiter::Local(tx) => {
-                let _ = tx.send(g);
+            Waiter::Remote(responder) => responder.send(Body::SlotGrant(grant)),
+            Waiter::Local(sender) => {
+                let _ = sender.send(grant);
             }
         }
     }
 }
 
-/// A front that does not answer: until when it is passed over, and in which incarnation.
+/// A front that did not answer. It is excluded as a slot owner until `until`, or until it begins
+/// another incarnation.
 struct UnresponsiveFront {
     until: Instant,
     incarnation: u64,
@@ -44,13 +45,12 @@
 struct GatewayState {
     slot_table: SlotTable,
     waiters: HashMap<Holder, Waiter>,
-    /// Fronts that do not answer, and until when they are left out.
     unresponsive: HashMap<String, UnresponsiveFront>,
-    /// Those of them that were known when slot owners were worked out last.
+    /// The unresponsive fronts that were excluded when slot owners were last determined.
     excluded_fronts: Vec<String>,
-    /// How long runs take, by function, about.
+    /// Moving average of the duration of runs, by function.
     mean_run_ms: HashMap<String, f64>,
-    /// What this front holds: by slot id, of which function, and until when.
+    /// The slots that this front holds, by slot id, each with the time at which its hold expires.
     held_slots: HashMap<u64, (SlotHeld, Instant)>,
     retry_budget: RetryBudget,
 }
@@ -60,12 +60,12 @@
     rpc_clients: Arc<RpcClients>,
     pool: Arc<ConnectionPool>,
     view: watch::Sender<ClusterView>,
-    /// How far this process is on its way out.
+    /// The stage of this process's shutdown.
     pub closing: watch::Sender<Closing>,
     state: Mutex<GatewayState>,
-    /// Fronts by which slot owners are chosen, as of the last membership.
+    /// The fronts of the current membership, among which slot owners are chosen.
     fronts: Mutex<Arc<Vec<rpc::Front>>>,
-    /// The processors of what is kept here, as the leader told them last.
+    /// The processors of the functions that this front owns, as the leader last reported them.
     processors: Mutex<Vec<Processor>>,
     started_at: Instant,
     next_slot_id: AtomicU64,
@@ -73,26 +73,27 @@
 }
 
 impl FunctionGateway {
-    /// A front that knows of nothing yet.
+    /// A gateway that has not yet received a cluster view.
     pub fn new(settings: Settings) -> Arc<FunctionGateway> {
-        let c = &settings.constraints;
-        let quiet = c.quiet_ms;
-        let silence = Duration::from_millis((quiet / 4.0) as u64);
-        let window = Duration::from_secs_f64(c.retry_window_s.max(0.1));
+        let constraints = &settings.constraints;
+        let quiet_ms = constraints.quiet_ms;
+        let silence = Duration::from_millis((quiet_ms / 4.0) as u64);
+        let retry_window = Duration::from_secs_f64(constraints.retry_window_s.max(0.1));
         let incarnation = rpc::new_incarnation();
+        let (settle_ms, backoff_ms) = ((quiet_ms / 40.0) as u64, (quiet_ms / 4.0) as u64);
         Arc::new(FunctionGateway {
             rpc_clients: RpcClients::new(silence),
             pool: ConnectionPool::new(silence),
             view: watch::channel(ClusterView::default()).0,
             closing: watch::channel(Closing::Open).0,
             state: Mutex::new(GatewayState {
-                slot_table: SlotTable::new(&settings.node, incarnation, (quiet / 40.0) as u64, (quiet / 4.0) as u64),
+                slot_table: SlotTable::new(&settings.node, incarnation, settle_ms, backoff_ms),
                 waiters: HashMap::new(),
                 unresponsive: HashMap::new(),
                 excluded_fronts: Vec::new(),
                 mean_run_ms: HashMap::new(),
                 held_slots: HashMap::new(),
-                retry_budget: RetryBudget::new(c.retry_ratio, window, Instant::now()),
+                retry_budget: RetryBudget::new(constraints.retry_ratio, retry_window, Instant::now()),
             }),
             fronts: Mutex::default(),
             processors: Mutex::default(),
@@ -103,20 +104,21 @@
         })
     }
 
-    /// Takes what is new of the system, and works out anew who keeps what.
+    /// Applies the newer parts of a cluster view, and determines the slot owners again if there
+    /// were any.
     pub fn apply_update(self: &Arc<Self>, update: &ViewUpdate) {
-        if self.view.send_if_modified(|k| k.take(update)) {
+        if self.view.send_if_modified(|view| view.take(update)) {
             self.reassign_functions();
         }
     }
 
-    /// Carries out what comes with time, as long as the process runs.
+    /// Runs the periodic work for as long as the process runs.
     pub async fn run_timers(self: Arc<Self>) {
         let mut rounds = 0u64;
         loop {
             tokio::time::sleep(self.quiet_fraction(50.0)).await;
             rounds += 1;
-            self.update_slots(|c, now, out| c.tick(now, out));
+            self.update_slots(|slot_table, now, effects| slot_table.tick(now, effects));
             if self.unresponsive_fronts() != self.state.lock().unwrap().excluded_fronts {
                 self.reassign_functions();
             }
@@ -129,86 +131,90 @@
         }
     }
 
+    /// The clock of the slot table. It starts at 1 000 000.
     fn now_ms(&self) -> u64 {
         self.started_at.elapsed().as_millis() as u64 + 1_000_000
     }
 
-    fn quiet_fraction(&self, part: f64) -> Duration {
-        Duration::from_micros((self.settings.constraints.quiet_ms * 1000.0 / part) as u64)
+    /// `quietMs` divided by `divisor`.
+    fn quiet_fraction(&self, divisor: f64) -> Duration {
+        Duration::from_micros((self.settings.constraints.quiet_ms * 1000.0 / divisor) as u64)
     }
 
     fn is_ready(&self) -> bool {
-        let k = self.view.borrow();
+        let view = self.view.borrow();
         *self.closing.borrow() == Closing::Open
-            && k.configuration.revision > 0
+            && view.configuration.revision > 0
             && !self.fronts.lock().unwrap().is_empty()
     }
 
-    fn bounds(&self) -> Bounds {
-        let l = &self.view.borrow().configuration.limits;
-        Bounds::told(l.header_bytes, l.body_bytes, l.header_ms, l.idle_ms)
+    fn request_bounds(&self) -> Bounds {
+        let limits = &self.view.borrow().configuration.limits;
+        Bounds::told(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
     }
 
-    /// Follows the agent beside it; keeps what it is to keep.
+    /// Follows the local agent, and applies the cluster views that it sends.
     async fn follow_agent(self: Arc<Self>) {
         let follower = Follower::new(&self.settings, self.rpc_clients.clone(), self.incarnation);
         let have = || self.view.borrow().have();
         let is_leaving = |closing: &Closing| *closing != Closing::Open;
-        let learn = |news: &ViewUpdate, _| self.apply_update(news);
-        follower.run(self.closing.subscribe(), is_leaving, have, || self.pool.unidentified(), learn).await;
+        let apply = |update: &ViewUpdate, _| self.apply_update(update);
+        follower.run(self.closing.subscribe(), is_leaving, have, || self.pool.unidentified(), apply).await;
     }
 }
 
-/// Gives the slot back when nobody waits for it any more.
+/// Releases a slot when it is dropped with `release` still set, as its request was cancelled.
 struct SlotReleaseGuard<'a> {
     gateway: &'a Arc<FunctionGateway>,
-    /// The slot owner that was asked; None: whoever it is by then.
+    /// The name and address of the slot owner that was asked; `None` for the slot owner at the
+    /// time of the release.
     owner: Option<(String, String)>,
     release: Option<SlotRelease>,
 }
 
 impl Drop for SlotReleaseGuard<'_> {
     fn drop(&mut self) {
-        if let Some(b) = self.release.take() {
+        if let Some(release) = self.release.take() {
             match self.owner.take() {
-                Some(to) => self.gateway.report_slot_to(Some(to), b),
-                None => self.gateway.report_slot(b),
+                Some(owner) => self.gateway.report_slot_to(Some(owner), release),
+                None => self.gateway.report_slot(release),
             }
         }
     }
 }
 
-/// Runs a function gateway until it is told to stop.
+/// Runs a function gateway until `stop` becomes true.
 pub async fn run(settings: Settings, mut stop: watch::Receiver<bool>) -> Result<(), String> {
     let silence = Duration::from_millis((settings.constraints.quiet_ms / 4.0) as u64);
-    let functions = FunctionGateway::new(settings.clone());
-    let bind = async |addr: String| tokio::net::TcpListener::bind(&addr).await.map_err(|e| format!("{addr}: {e}"));
+    let gateway = FunctionGateway::new(settings.clone());
+    let bind =
+        async |address: String| tokio::net::TcpListener::bind(&address).await.map_err(|e| format!("{address}: {e}"));
     let inner = bind(settings.inner_addr(Role::Front)).await?;
-    let s = functions.clone();
-    tokio::spawn(rpc::serve(inner, silence, move |body, responder| s.handle_rpc(body, responder)));
-    tokio::spawn(functions.clone().follow_agent());
-    tokio::spawn(functions.clone().poll_processors());
-    let s = functions.clone();
+    let rpc_gateway = gateway.clone();
+    tokio::spawn(rpc::serve(inner, silence, move |body, responder| rpc_gateway.handle_rpc(body, responder)));
+    tokio::spawn(gateway.clone().follow_agent());
+    tokio::spawn(gateway.clone().poll_processors());
+    let ready_gateway = gateway.clone();
     let ready = bind(settings.listen.ready.clone()).await?;
     let open = watch::channel(Closing::Open);
     tokio::spawn(http1::listen(ready, Bounds::default, open.1, ClientWatch::Off, move |_| {
-        let ok = s.is_ready();
-        async move { if ok { Reply::new(200) } else { Reply::new(503) } }
+        let is_ready = ready_gateway.is_ready();
+        async move { if is_ready { Reply::new(200) } else { Reply::new(503) } }
     }));
     let clients = bind(settings.listen.front.clone()).await?;
-    let (s, sb) = (functions.clone(), functions.clone());
+    let (request_gateway, bounds_gateway) = (gateway.clone(), gateway.clone());
     tokio::spawn(http1::listen(
         clients,
-        move || sb.bounds(),
-        functions.closing.subscribe(),
+        move || bounds_gateway.request_bounds(),
+        gateway.closing.subscribe(),
         ClientWatch::On,
-        move |r| s.clone().handle_request(r),
+        move |request| request_gateway.clone().handle_request(request),
     ));
-    tokio::spawn(functions.clone().run_timers());
-    let _ = stop.wait_for(|s| *s).await;
+    tokio::spawn(gateway.clone().run_timers());
+    let _ = stop.wait_for(|is_stopping| *is_stopping).await;
     telemetry::change!("draining");
     let grace = Duration::from_millis((settings.constraints.grace_s * 1000.0) as u64);
-    http1::end_in_order(&functions.closing, grace, silence / 10, || true).await;
+    http1::end_in_order(&gateway.closing, grace, silence / 10, || true).await;
     telemetry::report(&settings.node, &rpc::sent());
     Ok(())
 }
