--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -1,192 +1,209 @@
-//! Forwarding of requests: tries within the route, and what becomes of their answers.
+//! Forwarding of requests to processors: retries within the limits of the route, and hedging.
 
 use super::*;
 
-/// What is to be done with what a processor said.
-enum Heard {
-    /// Its answer, whole: the client's.
-    Whole(Answer),
-    /// None; and what its slot owner is told of the slot.
-    Missed(DeliveryFailure, SlotEnd),
-    /// It was not sent there: that would be more processors than the route has tries.
+/// What became of one send to a processor.
+enum ForwardOutcome {
+    /// The processor's complete answer, to be returned to the client.
+    Answered(Answer),
+    /// No answer; `SlotEnd` is what the slot owner is told.
+    Failed(DeliveryFailure, SlotEnd),
+    /// Not sent: the request would have had more processors than its route has tries.
     TooManyProcessors,
 }
 
-/// By how much a request may take longer than runs usually do before another is sent beside it.
+/// A second request is sent once the first has taken this many times the mean duration of a run.
 const HEDGE_FACTOR: f64 = 3.0;
-/// The part of its aim before which no request is sent beside another.
-const HEDGE_PART: f64 = 0.6;
+/// No second request is sent before this fraction of the target latency has passed.
+const HEDGE_TARGET_FRACTION: f64 = 0.6;
 
 impl FunctionGateway {
-    /// One request of a client.
-    pub async fn handle_request(self: Arc<Self>, r: Request) -> Reply {
-        let begun = Instant::now();
+    /// Serves one request of a client.
+    pub async fn handle_request(self: Arc<Self>, request: Request) -> Reply {
+        let received_at = Instant::now();
         let configuration = self.view.borrow().configuration.clone();
         if configuration.revision == 0 {
             return busy(500);
         }
-        let ask = match ClientRequest::read(&r, &configuration, &self.settings, begun) {
-            Ok(ask) => ask,
+        let client_request = match ClientRequest::read(&request, &configuration, &self.settings, received_at) {
+            Ok(client_request) => client_request,
             Err(refusal) => return refusal,
         };
-        self.state.lock().unwrap().retry_budget.sent(begun);
+        self.state.lock().unwrap().retry_budget.sent(received_at);
         let mut closing = self.closing.subscribe();
         let outcome = tokio::select! {
-            // First: what others give back as they end is not to be taken any more.
+            // Shutdown is checked first: slots that other requests release as they end must not be
+            // taken any more.
             biased;
-            // The process is about to end: what is known by now is the answer.
+            // The process is about to end, so the client is answered at once.
             _ = closing.wait_for(|c| *c == Closing::Ending) => Err(Failure::not_run()),
-            // Nobody waits for it: the slot goes back and the processor drops it.
-            _ = ask.request.departure.left(), if ask.is_safe => {
+            // The client has gone: the slot is released and the processor drops the request.
+            _ = client_request.request.departure.left(), if client_request.is_safe => {
                 telemetry::count("requests_abandoned");
                 Err(Failure::not_run())
             }
-            outcome = self.serve(&ask) => outcome,
+            outcome = self.forward_hedged(&client_request) => outcome,
         };
-        ask.reply(outcome)
+        client_request.reply(outcome)
     }
 
-    /// Sends a request, and beside the first send another one where that takes long.
-    async fn serve(self: &Arc<Self>, ask: &ClientRequest<'_>) -> Result<Answer, Failure> {
-        let usual = self.state.lock().unwrap().mean_run_ms.get(&ask.service).copied();
-        let Some(usual) = usual.filter(|_| ask.is_safe) else { return self.tries(ask).await };
-        // An answer may be lost, or its processor slow: when it takes far longer than
-        // runs do, another is asked as well, and the first answer is the client's.
-        let patience_ms = (ask.route.target_latency_ms.max(1.0) * HEDGE_PART).max(usual * HEDGE_FACTOR);
-        let patience = Duration::from_micros((patience_ms * 1000.0) as u64);
+    /// Forwards a request, and sends a second one in parallel if the first takes long and the
+    /// request may run more than once.
+    async fn forward_hedged(self: &Arc<Self>, request: &ClientRequest<'_>) -> Result<Answer, Failure> {
+        let mean_run_ms = self.state.lock().unwrap().mean_run_ms.get(&request.service).copied();
+        let Some(mean_run_ms) = mean_run_ms.filter(|_| request.is_safe) else {
+            return self.forward_with_retries(request).await;
+        };
+        // An answer may be lost or a processor slow. If a request takes far longer than usual, a
+        // second one is sent, and the client gets the first answer.
+        let target_ms = request.route.target_latency_ms.max(1.0);
+        let hedge_after_ms = (target_ms * HEDGE_TARGET_FRACTION).max(mean_run_ms * HEDGE_FACTOR);
+        let hedge_after = Duration::from_micros((hedge_after_ms * 1000.0) as u64);
         let second = || {
-            let is_worth_it = ask.attempts().has_room() && self.holds_slot_of(&ask.service) && self.take_retry();
-            is_worth_it.then(|| self.tries(ask))
+            let may_hedge = request.attempts().has_room() && self.holds_slot_of(&request.service) && self.take_retry();
+            may_hedge.then(|| self.forward_with_retries(request))
         };
-        hedged(self.tries(ask), patience, second).await
+        hedged(self.forward_with_retries(request), hedge_after, second).await
     }
 
-    /// Takes one of the repeats that are allowed to this front.
+    /// Takes one retry from this front's share of the retry budget; false if none is left.
     pub(super) fn take_retry(&self) -> bool {
         let fronts = self.fronts.lock().unwrap().len().max(1);
         let slack = self.settings.constraints.retry_slack / fronts as f64;
         self.state.lock().unwrap().retry_budget.again(slack, Instant::now())
     }
 
-    /// Sends one request until there is an answer, or another try must not be.
-    async fn tries(self: &Arc<Self>, ask: &ClientRequest<'_>) -> Result<Answer, Failure> {
+    /// Forwards a request until there is an answer or a retry is not allowed.
+    async fn forward_with_retries(self: &Arc<Self>, request: &ClientRequest<'_>) -> Result<Answer, Failure> {
         loop {
-            if ask.is_abandoned() {
+            if request.is_abandoned() {
                 return Err(Failure::not_run());
             }
-            let patience = wait_for_slot(ask.route, ask.left());
-            let (slot_id, g) = self.acquire_slot(&ask.service, ask.route, &ask.zones, patience).await?;
-            let back = SlotRelease {
-                service: ask.service.clone(),
+            let max_wait = max_slot_wait(request.route, request.left());
+            let (slot_id, grant) = self.acquire_slot(&request.service, request.route, &request.zones, max_wait).await?;
+            let release = SlotRelease {
+                service: request.service.clone(),
                 front: self.settings.node.clone(),
                 slot_id,
-                processor: g.processor.clone(),
+                processor: grant.processor.clone(),
                 ..SlotRelease::default()
             };
-            let sent = Instant::now();
-            // If nobody waits for this try any more, the processor drops it as well.
-            let mut guard = SlotReleaseGuard { gateway: self, owner: None, release: Some(back.clone()) };
-            let heard = self.pass(ask, &g, &back).await;
+            let sent_at = Instant::now();
+            // Releases the slot if this future is dropped; the processor drops the request as well.
+            let mut guard = SlotReleaseGuard { gateway: self, owner: None, release: Some(release.clone()) };
+            let outcome = self.forward_to_slot(request, &grant, &release).await;
             guard.release = None;
-            let took = sent.elapsed().as_millis().max(1) as u32;
-            let (ended, took) = match &heard {
-                Heard::Whole(_) => (SlotEnd::Done, if g.starting { 0 } else { took }),
-                Heard::Missed(_, end) => (*end, 0),
-                Heard::TooManyProcessors => (SlotEnd::Done, 0),
+            let elapsed_ms = sent_at.elapsed().as_millis().max(1) as u32;
+            let (end, run_ms) = match &outcome {
+                ForwardOutcome::Answered(_) => (SlotEnd::Done, if grant.starting { 0 } else { elapsed_ms }),
+                ForwardOutcome::Failed(_, end) => (*end, 0),
+                ForwardOutcome::TooManyProcessors => (SlotEnd::Done, 0),
             };
-            if took > 0 {
-                let mut i = self.state.lock().unwrap();
-                let t = i.mean_run_ms.entry(ask.service.clone()).or_insert(f64::from(took));
-                *t = *t * 0.9 + f64::from(took) * 0.1;
+            if run_ms > 0 {
+                let mut state = self.state.lock().unwrap();
+                let mean = state.mean_run_ms.entry(request.service.clone()).or_insert(f64::from(run_ms));
+                *mean = *mean * 0.9 + f64::from(run_ms) * 0.1;
             }
-            self.report_slot(SlotRelease { end: ended as i32, took_ms: took, ..back });
-            let gap = match heard {
-                Heard::Whole(a) => return Ok(a),
-                Heard::Missed(gap, _) => gap,
-                Heard::TooManyProcessors => return Err(Failure::MayHaveRun),
+            self.report_slot(SlotRelease { end: end as i32, took_ms: run_ms, ..release });
+            let delivery_failure = match outcome {
+                ForwardOutcome::Answered(answer) => return Ok(answer),
+                ForwardOutcome::Failed(delivery_failure, _) => delivery_failure,
+                ForwardOutcome::TooManyProcessors => return Err(Failure::MayHaveRun),
             };
-            let failure = match gap.execution() {
+            let failure = match delivery_failure.execution() {
                 ExecutionOutcome::NotRun => {
                     telemetry::count("sends_not_run");
                     Failure::not_run()
                 }
                 _ => {
                     telemetry::count("sends_unclear");
-                    if gap == DeliveryFailure::Silent { Failure::Silent } else { Failure::MayHaveRun }
+                    if delivery_failure == DeliveryFailure::Silent { Failure::Silent } else { Failure::MayHaveRun }
                 }
             };
-            let again = gap.again(if ask.is_safe { RetrySafety::Safe } else { RetrySafety::Unsafe });
-            let more = matches!(again, RetryOwner::Front | RetryOwner::FrontTries) && ask.attempts().has_room();
-            if !more || !self.take_retry() {
+            let safety = if request.is_safe { RetrySafety::Safe } else { RetrySafety::Unsafe };
+            let retry_owner = delivery_failure.again(safety);
+            let may_retry =
+                matches!(retry_owner, RetryOwner::Front | RetryOwner::FrontTries) && request.attempts().has_room();
+            if !may_retry || !self.take_retry() {
                 return Err(failure);
             }
             telemetry::count("sent_again");
         }
     }
 
-    /// Passes a request to the processor of a granted slot, once that is up.
-    async fn pass(self: &Arc<Self>, ask: &ClientRequest<'_>, g: &SlotGrant, back: &SlotRelease) -> Heard {
-        if g.starting && !self.wait_until_up(ask, g, back).await {
-            return Heard::Missed(DeliveryFailure::NotSent, SlotEnd::Dark);
+    /// Forwards a request to the processor of a granted slot, once that processor is up.
+    async fn forward_to_slot(
+        self: &Arc<Self>,
+        request: &ClientRequest<'_>,
+        grant: &SlotGrant,
+        release: &SlotRelease,
+    ) -> ForwardOutcome {
+        if grant.starting && !self.wait_until_up(request, grant, release).await {
+            return ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Dark);
         }
-        if self.is_evacuated(&g.zone) {
+        if self.is_zone_evacuated(&grant.zone) {
             telemetry::count("sends_spared_evacuated");
-            return Heard::Missed(DeliveryFailure::NotSent, SlotEnd::Done);
+            return ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Done);
         }
-        let within = ask.left();
-        if ask.is_abandoned() || within < ask.shortest_run() {
-            return Heard::Missed(DeliveryFailure::NotSent, SlotEnd::Done);
+        let within = request.left();
+        if request.is_abandoned() || within < request.shortest_run() {
+            return ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Done);
         }
-        if !ask.attempts().begin(&g.processor) {
-            return Heard::TooManyProcessors;
+        if !request.attempts().begin(&grant.processor) {
+            return ForwardOutcome::TooManyProcessors;
         }
-        let target = Target { processor: g.processor.clone(), address: g.address.clone() };
+        let target = Target { processor: grant.processor.clone(), address: grant.address.clone() };
         let rules =
             ConnectionRules { newest: self.quiet_fraction(20.0), connect: None, refusal: self.quiet_fraction(200.0) };
-        let outcome = send(&self.pool, ask, &target, within, rules).await;
+        let outcome = send(&self.pool, request, &target, within, rules).await;
         if outcome.has_not_run() {
-            ask.attempts().did_not_run(&g.processor);
+            request.attempts().did_not_run(&grant.processor);
         }
         match outcome {
-            SendOutcome::Answered(answer) => Heard::Whole(answer),
-            SendOutcome::OtherProcessor => Heard::Missed(DeliveryFailure::Refused, SlotEnd::Gone),
-            SendOutcome::Refused => Heard::Missed(DeliveryFailure::Refused, SlotEnd::Full),
-            SendOutcome::NotSent { is_gone: true } => Heard::Missed(DeliveryFailure::NotSent, SlotEnd::Gone),
-            SendOutcome::NotSent { is_gone: false } => Heard::Missed(DeliveryFailure::NotSent, SlotEnd::Dark),
-            SendOutcome::Lost => Heard::Missed(DeliveryFailure::Lost, SlotEnd::Done),
-            SendOutcome::Silent if g.starting => Heard::Missed(DeliveryFailure::Silent, SlotEnd::Dark),
-            SendOutcome::Silent => Heard::Missed(DeliveryFailure::Silent, SlotEnd::Done),
+            SendOutcome::Answered(answer) => ForwardOutcome::Answered(answer),
+            SendOutcome::OtherProcessor => ForwardOutcome::Failed(DeliveryFailure::Refused, SlotEnd::Gone),
+            SendOutcome::Refused => ForwardOutcome::Failed(DeliveryFailure::Refused, SlotEnd::Full),
+            SendOutcome::NotSent { is_gone: true } => ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Gone),
+            SendOutcome::NotSent { is_gone: false } => ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Dark),
+            SendOutcome::Lost => ForwardOutcome::Failed(DeliveryFailure::Lost, SlotEnd::Done),
+            SendOutcome::Silent if grant.starting => ForwardOutcome::Failed(DeliveryFailure::Silent, SlotEnd::Dark),
+            SendOutcome::Silent => ForwardOutcome::Failed(DeliveryFailure::Silent, SlotEnd::Done),
         }
     }
 
-    /// Whether the processors of a zone are sent nothing.
-    fn is_evacuated(&self, zone: &str) -> bool {
-        let known = self.view.borrow();
-        known.assignments.zone_use(zone, known.membership.version) == ZoneUse::Evacuated
+    /// Whether the zone is evacuated, so that its processors get no requests.
+    fn is_zone_evacuated(&self, zone: &str) -> bool {
+        let view = self.view.borrow();
+        view.assignments.zone_use(zone, view.membership.version) == ZoneUse::Evacuated
     }
 
-    /// Connects to a processor that refuses until it has started, and tells its slot owner
-    /// when it has; false if the time is over before that.
-    async fn wait_until_up(self: &Arc<Self>, ask: &ClientRequest<'_>, g: &SlotGrant, back: &SlotRelease) -> bool {
-        let step = self.quiet_fraction(200.0);
+    /// Connects repeatedly to a starting processor, which refuses connections until it is up, and
+    /// then reports that to the slot owner. False if the request runs out of time before that.
+    async fn wait_until_up(
+        self: &Arc<Self>,
+        request: &ClientRequest<'_>,
+        grant: &SlotGrant,
+        release: &SlotRelease,
+    ) -> bool {
+        let pause = self.quiet_fraction(200.0);
         loop {
-            let left = ask.left();
-            if left.is_zero() || ask.is_abandoned() {
+            let left = request.left();
+            if left.is_zero() || request.is_abandoned() {
                 return false;
             }
-            match self.pool.open(&g.address, left.min(self.quiet_fraction(20.0))).await {
+            match self.pool.open(&grant.address, left.min(self.quiet_fraction(20.0))).await {
                 Ok(()) => break,
-                Err(_) => tokio::time::sleep(step.min(left)).await,
+                Err(_) => tokio::time::sleep(pause.min(left)).await,
             }
         }
-        self.report_slot(SlotRelease { end: SlotEnd::Up as i32, ..back.clone() });
+        self.report_slot(SlotRelease { end: SlotEnd::Up as i32, ..release.clone() });
         true
     }
 }
 
-/// How long a request waits for a slot: what is left then must do for a run, for which a
-/// quarter of the target latency is kept, or a tenth of the time if that is more.
-fn wait_for_slot(c: &Route, left: Duration) -> Duration {
-    let run = Duration::from_micros((c.target_latency_ms * 250.0) as u64);
+/// How long a request may wait for a slot. A quarter of the target latency is reserved for the
+/// run, or a tenth of the remaining time if that is more, but never more than half of it.
+fn max_slot_wait(route: &Route, left: Duration) -> Duration {
+    let run = Duration::from_micros((route.target_latency_ms * 250.0) as u64);
     left - run.max(left / 10).min(left / 2)
 }
