--- a/crates/functions/src/gateway/slot_client.rs
+++ b/crates/functions/src/gateway/slot_client.rs
@@ -1,148 +1,147 @@
-//! The side that asks: which front owns the slots of a function, and slots taken there.
+//! The client side of slots: finds the slot owner of a function, and acquires and reports slots
+//! there.
 
 use super::*;
 
 impl FunctionGateway {
-    /// The front that keeps a function, as far as this one can tell: its name and address.
+    /// The name and address of the front that owns the slots of a function, as far as this front
+    /// can tell.
     pub(super) fn slot_owner(&self, service: &str) -> Option<(String, String)> {
-        let dark = self.unresponsive_fronts();
-        self.slot_owner_excluding(service, &dark)
+        let unresponsive = self.unresponsive_fronts();
+        self.slot_owner_excluding(service, &unresponsive)
     }
 
-    pub(super) fn slot_owner_excluding(&self, service: &str, dark: &[String]) -> Option<(String, String)> {
+    pub(super) fn slot_owner_excluding(&self, service: &str, excluded: &[String]) -> Option<(String, String)> {
         let fronts = self.fronts.lock().unwrap().clone();
-        let but = |n: &str| dark.iter().any(|d| d == n);
-        rpc::slot_owner_but(&fronts, service, but).map(|f| (f.1.clone(), f.2.clone()))
+        let is_excluded = |name: &str| excluded.iter().any(|front| front == name);
+        rpc::slot_owner_but(&fronts, service, is_excluded).map(|front| (front.1.clone(), front.2.clone()))
     }
 
-    /// The fronts that did not answer of late.
+    /// The fronts that recently did not answer, in order of name.
     pub(super) fn unresponsive_fronts(&self) -> Vec<String> {
         let now = Instant::now();
-        let mut i = self.state.lock().unwrap();
-        if i.unresponsive.is_empty() {
+        let mut state = self.state.lock().unwrap();
+        if state.unresponsive.is_empty() {
             return Vec::new();
         }
-        i.unresponsive.retain(|_, d| d.until > now);
-        let mut all: Vec<String> = i.unresponsive.keys().cloned().collect();
-        all.sort();
-        all
+        state.unresponsive.retain(|_, front| front.until > now);
+        let mut names: Vec<String> = state.unresponsive.keys().cloned().collect();
+        names.sort();
+        names
     }
 
-    /// A front does not answer: another one keeps its functions until its session is
-    /// over, or it begins another incarnation, or half of `quietMs` is.
+    /// Excludes a front that did not answer, so that another one owns its functions. This ends with
+    /// the front's session, when it begins another incarnation, or after half of `quietMs`.
     pub(super) fn mark_unresponsive(self: &Arc<Self>, name: &str) {
-        let incarnation = self.view.borrow().node(name, "functions").map_or(0, |n| n.incarnation);
+        let incarnation = self.view.borrow().node(name, "functions").map_or(0, |node| node.incarnation);
         let until = Instant::now() + self.quiet_fraction(2.0);
-        if self
-            .state
-            .lock()
-            .unwrap()
-            .unresponsive
-            .insert(name.to_owned(), UnresponsiveFront { until, incarnation })
-            .is_none()
-        {
-            telemetry::change!("{name} does not answer");
+        let front = UnresponsiveFront { until, incarnation };
+        if self.state.lock().unwrap().unresponsive.insert(name.to_owned(), front).is_none() {
+            telemetry::change!("front {name} does not answer; excluding it as a slot owner");
             self.reassign_functions();
         }
     }
 
-    /// Whether anybody is there at a front.
-    pub(super) async fn responds(&self, inner: &str) -> bool {
-        self.rpc_clients.to(inner).call(Body::Ack(Ack {}), self.quiet_fraction(16.0)).await.is_ok()
+    /// Whether a front answers at this address.
+    pub(super) async fn responds(&self, address: &str) -> bool {
+        self.rpc_clients.to(address).call(Body::Ack(Ack {}), self.quiet_fraction(16.0)).await.is_ok()
     }
 
-    /// Another front passes some over that are well as far as is known here: they are
-    /// looked for from here too, before there are two slot owners of one function.
-    pub(super) async fn check_excluded_fronts(self: Arc<Self>, a: SlotRequest, w: Waiter) {
+    /// Handles a slot request from a front that excludes fronts which this one considers
+    /// responsive. They are probed from here before the request is accepted, so that a function
+    /// does not get two slot owners.
+    pub(super) async fn check_excluded_fronts(self: Arc<Self>, request: SlotRequest, waiter: Waiter) {
         let fronts = self.fronts.lock().unwrap().clone();
-        let mine = self.unresponsive_fronts();
-        let asked: Vec<(String, String)> = fronts
+        let unresponsive = self.unresponsive_fronts();
+        let to_probe: Vec<(String, String)> = fronts
             .iter()
-            .filter(|f| a.dark.contains(&f.1) && !mine.contains(&f.1))
-            .map(|f| (f.1.clone(), f.2.clone()))
+            .filter(|front| request.dark.contains(&front.1) && !unresponsive.contains(&front.1))
+            .map(|front| (front.1.clone(), front.2.clone()))
             .collect();
-        for (name, inner) in asked {
-            if self.responds(&inner).await {
+        for (name, address) in to_probe {
+            if self.responds(&address).await {
                 let outcome = SlotOutcome::Elsewhere as i32;
-                return w.send(SlotGrant { outcome, processor: name, ..SlotGrant::default() });
+                return waiter.send(SlotGrant { outcome, processor: name, ..SlotGrant::default() });
             }
             self.mark_unresponsive(&name);
         }
-        self.enqueue_slot_request(a, w);
+        self.enqueue_slot_request(request, waiter);
     }
 
-    /// A slot for one request, if one can be had in time.
+    /// Acquires a slot for one request within `left`.
     pub(super) async fn acquire_slot(
         self: &Arc<Self>,
         service: &str,
-        c: &Route,
+        route: &Route,
         zones: &[String],
         left: Duration,
     ) -> Result<(u64, SlotGrant), Failure> {
-        let end = Instant::now() + left;
-        let mut said = 0;
-        while Instant::now() < end {
-            let Some((name, inner)) = self.slot_owner(service) else { break };
-            let patience = end.saturating_duration_since(Instant::now());
-            // One for each ask: what became of an earlier one is nothing to this one.
+        let deadline = Instant::now() + left;
+        let mut retry_ms = 0;
+        while Instant::now() < deadline {
+            let Some((name, address)) = self.slot_owner(service) else { break };
+            let max_wait = deadline.saturating_duration_since(Instant::now());
+            // Each attempt has its own slot id, so that the outcome of an earlier one has no effect
+            // on it.
             let slot_id = self.next_slot_id.fetch_add(1, Ordering::Relaxed);
-            let ask = SlotRequest {
+            let request = SlotRequest {
                 service: service.to_owned(),
                 front: self.settings.node.clone(),
                 slot_id,
-                patience_ms: patience.as_millis() as u32,
-                hold_ms: (c.timeout_ms as u32).saturating_add(patience.as_millis() as u32),
-                target_start_ms: c.target_latency_ms as u32,
+                patience_ms: max_wait.as_millis() as u32,
+                hold_ms: (route.timeout_ms as u32).saturating_add(max_wait.as_millis() as u32),
+                target_start_ms: route.target_latency_ms as u32,
                 dark: self.unresponsive_fronts(),
-                rank: c.rank,
+                rank: route.rank,
                 zones: zones.to_vec(),
             };
-            // Dropped before there is an answer: the slot owner is told, whether it granted
-            // one by then or not.
-            let empty = SlotRelease {
+            // If this future is dropped before there is an answer, the slot owner is told, whether
+            // or not it has granted a slot by then.
+            let cancellation = SlotRelease {
                 service: service.to_owned(),
                 front: self.settings.node.clone(),
                 slot_id,
                 ..SlotRelease::default()
             };
-            let to = Some((name.clone(), inner.clone()));
-            let mut given_up = SlotReleaseGuard { gateway: self, owner: to, release: Some(empty) };
-            let granted = if name == self.settings.node {
-                let (tx, rx) = oneshot::channel();
-                self.handle_slot_request(ask, Waiter::Local(tx));
-                rx.await.ok()
+            let owner = Some((name.clone(), address.clone()));
+            let mut guard = SlotReleaseGuard { gateway: self, owner, release: Some(cancellation) };
+            let answer = if name == self.settings.node {
+                let (sender, receiver) = oneshot::channel();
+                self.handle_slot_request(request, Waiter::Local(sender));
+                receiver.await.ok()
             } else {
-                let mut rx = self.view.subscribe();
-                rx.mark_unchanged();
-                let end = self.rpc_clients.to(&inner);
-                // A slot owner that is gone from the membership answers nothing any more.
-                let gone = async {
+                let mut view_changes = self.view.subscribe();
+                view_changes.mark_unchanged();
+                let client = self.rpc_clients.to(&address);
+                // A slot owner that has left the membership does not answer any more.
+                let owner_replaced = async {
                     loop {
-                        let _ = rx.changed().await;
-                        if self.slot_owner(service).is_none_or(|k| k.0 != name) {
+                        let _ = view_changes.changed().await;
+                        if self.slot_owner(service).is_none_or(|owner| owner.0 != name) {
                             return;
                         }
                     }
                 };
-                // A wait may be long; whether there is anybody at all is asked apart.
-                let there = async {
+                // The wait for a slot may be long, so whether the slot owner answers at all is
+                // probed separately.
+                let owner_unresponsive = async {
                     loop {
                         tokio::time::sleep(self.quiet_fraction(16.0)).await;
-                        if !self.responds(&inner).await {
+                        if !self.responds(&address).await {
                             return;
                         }
                     }
                 };
-                let asked = tokio::select! {
-                    // First: the next slot owner is not told of a slot that is granted by
-                    // the former one from now on.
+                let response = tokio::select! {
+                    // The change of owner is checked first: the next slot owner is not told of a
+                    // slot that the former one grants from now on.
                     biased;
-                    _ = gone => Ok(Body::Ack(Ack {})),
-                    a = end.call(Body::SlotRequest(ask), patience) => a.map_err(|_| ()),
-                    _ = there => Err(()),
+                    _ = owner_replaced => Ok(Body::Ack(Ack {})),
+                    response = client.call(Body::SlotRequest(request), max_wait) => response.map_err(|_| ()),
+                    _ = owner_unresponsive => Err(()),
                 };
-                match asked {
-                    Ok(Body::SlotGrant(g)) => Some(g),
+                match response {
+                    Ok(Body::SlotGrant(grant)) => Some(grant),
                     Ok(_) => None,
                     Err(()) => {
                         self.mark_unresponsive(&name);
@@ -150,60 +149,62 @@
                     }
                 }
             };
-            if granted.is_some() {
-                given_up.release = None;
+            if answer.is_some() {
+                guard.release = None;
             }
-            drop(given_up);
-            match granted {
-                Some(g) if g.outcome == SlotOutcome::Granted as i32 => {
+            drop(guard);
+            match answer {
+                Some(grant) if grant.outcome == SlotOutcome::Granted as i32 => {
                     let held = SlotHeld {
                         service: service.to_owned(),
                         slot_id,
-                        processor: g.processor.clone(),
-                        address: g.address.clone(),
+                        processor: grant.processor.clone(),
+                        address: grant.address.clone(),
                         hold_ms: 0,
-                        zone: g.zone.clone(),
+                        zone: grant.zone.clone(),
                     };
-                    let until = Instant::now() + patience + Duration::from_millis(c.timeout_ms as u64);
+                    let until = Instant::now() + max_wait + Duration::from_millis(route.timeout_ms as u64);
                     self.state.lock().unwrap().held_slots.insert(slot_id, (held, until));
-                    return Ok((slot_id, g));
+                    return Ok((slot_id, grant));
                 }
-                Some(g) if g.outcome == SlotOutcome::None as i32 => {
-                    return Err(Failure::NotRun { retry_ms: u64::from(g.retry_ms) });
+                Some(grant) if grant.outcome == SlotOutcome::None as i32 => {
+                    return Err(Failure::NotRun { retry_ms: u64::from(grant.retry_ms) });
                 }
-                Some(g) if !g.processor.is_empty() => {
-                    // That one does answer others: it is asked again.
-                    self.state.lock().unwrap().unresponsive.remove(&g.processor);
+                Some(grant) if !grant.processor.is_empty() => {
+                    // `processor` names an excluded front that answers other fronts. It may be a
+                    // slot owner again.
+                    self.state.lock().unwrap().unresponsive.remove(&grant.processor);
                 }
                 _ => {}
             }
-            said = 100;
-            tokio::time::sleep(self.quiet_fraction(400.0).min(end.saturating_duration_since(Instant::now()))).await;
+            retry_ms = 100;
+            let pause = self.quiet_fraction(400.0).min(deadline.saturating_duration_since(Instant::now()));
+            tokio::time::sleep(pause).await;
         }
-        Err(Failure::NotRun { retry_ms: said.max(50) })
+        Err(Failure::NotRun { retry_ms: retry_ms.max(50) })
     }
 
-    /// Tells the slot owner, whoever that is by now.
-    pub(super) fn report_slot(self: &Arc<Self>, b: SlotRelease) {
-        let to = self.slot_owner(&b.service);
-        self.report_slot_to(to, b);
+    /// Sends a report on a slot to the current slot owner.
+    pub(super) fn report_slot(self: &Arc<Self>, release: SlotRelease) {
+        let owner = self.slot_owner(&release.service);
+        self.report_slot_to(owner, release);
     }
 
-    pub(super) fn report_slot_to(self: &Arc<Self>, to: Option<(String, String)>, b: SlotRelease) {
-        if b.end != SlotEnd::Up as i32 {
-            self.state.lock().unwrap().held_slots.remove(&b.slot_id);
+    pub(super) fn report_slot_to(self: &Arc<Self>, owner: Option<(String, String)>, release: SlotRelease) {
+        if release.end != SlotEnd::Up as i32 {
+            self.state.lock().unwrap().held_slots.remove(&release.slot_id);
         }
-        let Some((name, inner)) = to else { return };
+        let Some((name, address)) = owner else { return };
         if name == self.settings.node {
-            self.update_slots(|c, now, out| c.release(&b, now, out));
+            self.update_slots(|slot_table, now, effects| slot_table.release(&release, now, effects));
         } else {
-            self.rpc_clients.to(&inner).send(Body::SlotRelease(b));
+            self.rpc_clients.to(&address).send(Body::SlotRelease(release));
         }
     }
 
-    /// Whether a slot of this function is held here; if none is, whoever waits waits
-    /// for a start, and another ask would only wait beside it.
+    /// Whether this front holds a slot of the function. If not, its requests wait for a start, and
+    /// a second request would only wait beside the first.
     pub(super) fn holds_slot_of(&self, service: &str) -> bool {
-        self.state.lock().unwrap().held_slots.values().any(|h| h.0.service == service)
+        self.state.lock().unwrap().held_slots.values().any(|(held, _)| held.service == service)
     }
 }
