--- a/crates/functions/tests/slot_owner.rs
+++ b/crates/functions/tests/slot_owner.rs
@@ -1,11 +1,12 @@
-//! The slot owner of functions: slots granted, given back, lost; starts and stops.
+//! The slot table of a slot owner: grants, releases and expiry of slots, and starts and stops of
+//! processors.
 
 use functions::*;
 use rpc::messages::*;
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-const FACTS: FunctionConfig = FunctionConfig { slots_per_processor: 2, boot_ms: 500 };
-const SETTLE: u64 = 100;
+const CONFIG: FunctionConfig = FunctionConfig { slots_per_processor: 2, boot_ms: 500 };
+const SETTLE_MS: u64 = 100;
 
 fn listed(ids: &[&str]) -> Vec<ListedProcessor> {
     ids.iter()
@@ -23,52 +24,56 @@
     StartAck { processor, address, zone, ..StartAck::default() }
 }
 
-/// A slot owner with its clock, and what came of its steps.
-struct World {
+/// The slot table of the front `front-1` with its clock and the effects that were not yet taken.
+struct Fixture {
     slot_table: SlotTable,
     now: u64,
-    out: Vec<Effect>,
-    slot_ids: u64,
+    effects: Vec<Effect>,
+    last_slot_id: u64,
 }
 
-impl World {
-    /// A slot owner of `f`, settled, with the processors that the platform lists.
-    fn new(ids: &[&str]) -> World {
-        let mut w =
-            World { slot_table: SlotTable::new("front-1", 7, SETTLE, 1000), now: 10_000, out: vec![], slot_ids: 0 };
-        w.list(ids);
-        w.pass(SETTLE);
-        w
+impl Fixture {
+    /// A slot owner of `f` after its settling time, with the processors that the platform lists.
+    fn new(ids: &[&str]) -> Fixture {
+        let mut fixture = Fixture {
+            slot_table: SlotTable::new("front-1", 7, SETTLE_MS, 1000),
+            now: 10_000,
+            effects: vec![],
+            last_slot_id: 0,
+        };
+        fixture.list(ids);
+        fixture.advance(SETTLE_MS);
+        fixture
     }
 
     fn list(&mut self, ids: &[&str]) {
-        let kept = HashMap::from([("f".to_owned(), (Some(FACTS), listed(ids)))]);
-        self.slot_table.set_functions(&kept, self.now, &mut self.out);
+        let owned = HashMap::from([("f".to_owned(), (Some(CONFIG), listed(ids)))]);
+        self.slot_table.set_functions(&owned, self.now, &mut self.effects);
     }
 
-    /// The platform's list after the function has left the configuration.
+    /// Sets the platform's list after the function was removed from the configuration.
     fn list_removed(&mut self, ids: &[&str]) {
-        let kept = HashMap::from([("f".to_owned(), (None, listed(ids)))]);
-        self.slot_table.set_functions(&kept, self.now, &mut self.out);
+        let owned = HashMap::from([("f".to_owned(), (None, listed(ids)))]);
+        self.slot_table.set_functions(&owned, self.now, &mut self.effects);
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.now += ms;
-        self.slot_table.tick(self.now, &mut self.out);
+        self.slot_table.tick(self.now, &mut self.effects);
     }
 
-    fn ask(&mut self, patience_ms: u32) -> u64 {
-        self.ask_in(&[], patience_ms)
+    fn request(&mut self, patience_ms: u32) -> u64 {
+        self.request_in(&[], patience_ms)
     }
 
-    /// As `ask`, for a request that may run in these zones only.
-    fn ask_in(&mut self, zones: &[&str], patience_ms: u32) -> u64 {
-        self.slot_ids += 1;
+    /// As `request`, for a request that may run only in these zones.
+    fn request_in(&mut self, zones: &[&str], patience_ms: u32) -> u64 {
+        self.last_slot_id += 1;
         let (service, front) = ("f".to_owned(), "a".to_owned());
-        let a = SlotRequest {
+        let request = SlotRequest {
             service,
             front,
-            slot_id: self.slot_ids,
+            slot_id: self.last_slot_id,
             patience_ms,
             hold_ms: 3000,
             target_start_ms: 400,
@@ -76,251 +81,270 @@
             rank: 0,
             zones: zones.iter().map(|zone| zone.to_string()).collect(),
         };
-        self.slot_table.request(&a, self.now, &mut self.out);
-        self.slot_ids
+        self.slot_table.request(&request, self.now, &mut self.effects);
+        self.last_slot_id
     }
 
-    fn back(&mut self, slot_id: u64, processor: &str, end: SlotEnd) {
+    fn release(&mut self, slot_id: u64, processor: &str, end: SlotEnd) {
         let (service, front, processor) = ("f".to_owned(), "a".to_owned(), processor.to_owned());
-        let b = SlotRelease { service, front, slot_id, processor, end: end as i32, took_ms: 50 };
-        self.slot_table.release(&b, self.now, &mut self.out);
+        let release = SlotRelease { service, front, slot_id, processor, end: end as i32, took_ms: 50 };
+        self.slot_table.release(&release, self.now, &mut self.effects);
     }
 
-    /// What was granted since the last look: slot id, unit, whether it is starting.
-    fn granted(&mut self) -> Vec<(u64, String, bool)> {
-        let all = std::mem::take(&mut self.out);
+    /// Takes the grants among the effects: slot id, processor, whether that is starting.
+    fn take_grants(&mut self) -> Vec<(u64, String, bool)> {
+        let all = std::mem::take(&mut self.effects);
         let (grants, rest): (Vec<Effect>, Vec<Effect>) =
             all.into_iter().partition(|e| matches!(e, Effect::Grant { .. }));
-        self.out = rest;
-        let one = |e| match e {
+        self.effects = rest;
+        let parts = |effect| match effect {
             Effect::Grant { holder, processor, starting, .. } => (holder.1, processor, starting),
             _ => unreachable!(),
         };
-        grants.into_iter().map(one).collect()
+        grants.into_iter().map(parts).collect()
     }
 
-    fn starts(&mut self) -> Vec<String> {
-        let all = std::mem::take(&mut self.out);
+    fn take_start_nonces(&mut self) -> Vec<String> {
+        let all = std::mem::take(&mut self.effects);
         all.into_iter().filter_map(|e| if let Effect::Start { nonce, .. } = e { Some(nonce) } else { None }).collect()
     }
 }
 
 #[test]
-fn a_cold_function_is_started_once_and_its_first_holder_opens_it() {
-    let mut w = World::new(&[]);
-    let (a, b) = (w.ask(2000), w.ask(2000));
-    assert!(w.granted().is_empty());
-    let starts = w.starts();
-    assert_eq!(starts.len(), 1, "two slots come with one start");
-    w.slot_table.processor_started("f", &starts[0], &ack("u1", "10.0.0.1:1"), w.now, &mut w.out);
-    assert_eq!(w.granted(), [(a, "u1".into(), true)], "the first one connects until it is up");
-    // The answer of a start that was asked again by the same nonce changes nothing.
-    w.slot_table.processor_started("f", &starts[0], &ack("u1", "10.0.0.1:1"), w.now, &mut w.out);
-    w.pass(300);
-    assert!(w.granted().is_empty());
-    w.back(a, "u1", SlotEnd::Up);
-    assert_eq!(w.granted(), [(b, "u1".into(), false)]);
-    let c = w.ask(2000);
-    assert!(w.granted().is_empty(), "both slots are held");
-    w.back(b, "u1", SlotEnd::Done);
-    assert_eq!(w.granted(), [(c, "u1".into(), false)]);
+fn cold_function_is_started_once_and_its_first_holder_reports_that_it_is_up() {
+    let mut fixture = Fixture::new(&[]);
+    let (a, b) = (fixture.request(2000), fixture.request(2000));
+    assert!(fixture.take_grants().is_empty());
+    let starts = fixture.take_start_nonces();
+    assert_eq!(starts.len(), 1, "one start provides two slots");
+    fixture.slot_table.processor_started("f", &starts[0], &ack("u1", "10.0.0.1:1"), fixture.now, &mut fixture.effects);
+    assert_eq!(fixture.take_grants(), [(a, "u1".into(), true)], "the first holder connects until it is up");
+    // A second answer to the same start request changes nothing.
+    fixture.slot_table.processor_started("f", &starts[0], &ack("u1", "10.0.0.1:1"), fixture.now, &mut fixture.effects);
+    fixture.advance(300);
+    assert!(fixture.take_grants().is_empty());
+    fixture.release(a, "u1", SlotEnd::Up);
+    assert_eq!(fixture.take_grants(), [(b, "u1".into(), false)]);
+    let c = fixture.request(2000);
+    assert!(fixture.take_grants().is_empty(), "both slots are held");
+    fixture.release(b, "u1", SlotEnd::Done);
+    assert_eq!(fixture.take_grants(), [(c, "u1".into(), false)]);
 }
 
 #[test]
-fn what_no_start_can_serve_in_time_is_told_at_once() {
-    let mut w = World::new(&[]);
-    w.ask(300);
-    assert!(w.out.iter().any(|e| matches!(e, Effect::Refuse { retry_ms, .. } if *retry_ms > 0)), "{:?}", w.out);
-    assert_eq!(w.starts().len(), 1, "the next one will find it");
+fn request_that_no_start_can_serve_in_time_is_refused_at_once() {
+    let mut fixture = Fixture::new(&[]);
+    fixture.request(300);
+    assert!(
+        fixture.effects.iter().any(|e| matches!(e, Effect::Refuse { retry_ms, .. } if *retry_ms > 0)),
+        "{:?}",
+        fixture.effects
+    );
+    assert_eq!(fixture.take_start_nonces().len(), 1, "a later request can use the processor");
 }
 
 #[test]
-fn a_lost_start_is_found_in_the_list_and_nothing_runs_for_nobody() {
-    let mut w = World::new(&[]);
-    let a = w.ask(2000);
-    let starts = w.starts();
-    // No answer came of it; the platform had done it all the same.
-    w.slot_table.start_failed("f", &starts[0], false, w.now, &mut w.out);
-    w.list(&["u1"]);
-    assert_eq!(w.granted(), [(a, "u1".into(), false)]);
-    w.out.clear();
-    w.back(a, "u1", SlotEnd::Done);
-    w.pass(5 * FACTS.boot_ms);
+fn processor_of_a_lost_start_is_found_in_the_list_and_stopped_once_idle() {
+    let mut fixture = Fixture::new(&[]);
+    let a = fixture.request(2000);
+    let starts = fixture.take_start_nonces();
+    // The answer was lost, although the platform had started the processor.
+    fixture.slot_table.start_failed("f", &starts[0], false, fixture.now, &mut fixture.effects);
+    fixture.list(&["u1"]);
+    assert_eq!(fixture.take_grants(), [(a, "u1".into(), false)]);
+    fixture.effects.clear();
+    fixture.release(a, "u1", SlotEnd::Done);
+    fixture.advance(5 * CONFIG.boot_ms);
     assert!(
-        w.out.contains(&Effect::Stop { service: "f".into(), processor: "u1".into() }),
-        "idle, so stopped: {:?}",
-        w.out
+        fixture.effects.contains(&Effect::Stop { service: "f".into(), processor: "u1".into() }),
+        "an idle processor is stopped: {:?}",
+        fixture.effects
     );
-    // The list shows it for a while still: it is not used again.
-    w.list(&["u1"]);
-    w.ask(2000);
-    assert!(w.granted().is_empty());
+    // The processor is listed for a while longer, but not used again.
+    fixture.list(&["u1"]);
+    fixture.request(2000);
+    assert!(fixture.take_grants().is_empty());
 }
 
 #[test]
-fn a_new_slot_owner_waits_for_what_the_fronts_hold() {
-    let mut w = World { slot_table: SlotTable::new("front-1", 7, SETTLE, 1000), now: 10_000, out: vec![], slot_ids: 0 };
-    w.list(&["u1"]);
-    let a = w.ask(2000);
-    assert!(w.granted().is_empty(), "not before the others could tell");
-    // Another front holds both slots by the former slot owner's word.
+fn new_slot_owner_waits_for_reports_of_held_slots() {
+    let mut fixture = Fixture {
+        slot_table: SlotTable::new("front-1", 7, SETTLE_MS, 1000),
+        now: 10_000,
+        effects: vec![],
+        last_slot_id: 0,
+    };
+    fixture.list(&["u1"]);
+    let a = fixture.request(2000);
+    assert!(fixture.take_grants().is_empty(), "nothing is granted before the other fronts could report their slots");
+    // Another front holds both slots, granted by the former slot owner.
     for slot_id in [71, 72] {
         let (service, processor, address) = ("f".to_owned(), "u1".to_owned(), "10.0.0.1:u1".to_owned());
-        w.slot_table.record_held(
+        fixture.slot_table.record_held(
             "b",
             &SlotHeld { service, slot_id, processor, address, hold_ms: 400, ..SlotHeld::default() },
-            w.now,
+            fixture.now,
         );
     }
-    w.pass(SETTLE);
-    assert!(w.granted().is_empty(), "both are held");
-    w.pass(400);
-    assert_eq!(w.granted(), [(a, "u1".into(), false)], "theirs are over");
+    fixture.advance(SETTLE_MS);
+    assert!(fixture.take_grants().is_empty(), "both are held");
+    fixture.advance(400);
+    assert_eq!(fixture.take_grants(), [(a, "u1".into(), false)], "the other front's holds have expired");
 }
 
 #[test]
-fn slots_of_a_front_that_is_gone_are_free_and_a_crashed_processor_is_not_used() {
-    let mut w = World::new(&["u1", "u2"]);
-    let (a, b) = (w.ask(2000), w.ask(2000));
-    assert_eq!(w.granted(), [(a, "u2".into(), false), (b, "u2".into(), false)], "packed, so that the other falls idle");
-    w.back(a, "u2", SlotEnd::Gone);
-    let c = w.ask(2000);
-    assert_eq!(w.granted(), [(c, "u1".into(), false)]);
-    w.list(&["u1", "u2"]);
-    let d = w.ask(2000);
-    assert_eq!(w.granted(), [(d, "u1".into(), false)], "listed still, and not used");
-    w.slot_table.retain_fronts(&HashSet::from(["b".to_owned()]), w.now, &mut w.out);
-    let e = w.ask(2000);
-    assert_eq!(w.granted(), [(e, "u1".into(), false)], "a's slots are free");
+fn slots_of_a_removed_front_are_freed_and_a_crashed_processor_is_not_used() {
+    let mut fixture = Fixture::new(&["u1", "u2"]);
+    let (a, b) = (fixture.request(2000), fixture.request(2000));
+    assert_eq!(
+        fixture.take_grants(),
+        [(a, "u2".into(), false), (b, "u2".into(), false)],
+        "the fullest processor is used, so that the other becomes idle"
+    );
+    fixture.release(a, "u2", SlotEnd::Gone);
+    let c = fixture.request(2000);
+    assert_eq!(fixture.take_grants(), [(c, "u1".into(), false)]);
+    fixture.list(&["u1", "u2"]);
+    let d = fixture.request(2000);
+    assert_eq!(fixture.take_grants(), [(d, "u1".into(), false)], "the crashed processor is still listed, but not used");
+    fixture.slot_table.retain_fronts(&HashSet::from(["b".to_owned()]), fixture.now, &mut fixture.effects);
+    let e = fixture.request(2000);
+    assert_eq!(fixture.take_grants(), [(e, "u1".into(), false)], "a's slots are free");
 }
 
 #[test]
-fn no_processor_holds_more_than_its_slots_under_any_order() {
+fn no_processor_exceeds_its_slots_in_random_orders_of_events() {
     for seed in 1..60u64 {
-        let mut x = seed.wrapping_mul(0x9e3779b97f4a7c15);
-        let mut chance = |n: u64| {
-            x ^= x << 13;
-            x ^= x >> 7;
-            x ^= x << 17;
-            x % n
+        let mut state = seed.wrapping_mul(0x9e3779b97f4a7c15);
+        let mut random_below = |n: u64| {
+            state ^= state << 13;
+            state ^= state >> 7;
+            state ^= state << 17;
+            state % n
         };
-        let mut w = World::new(&[]);
-        // What the fronts hold, and until when: a slot id runs out for them as well.
+        let mut fixture = Fixture::new(&[]);
+        // The slots that the fronts hold, and when each expires: holds expire at the fronts as well.
         let mut held: BTreeMap<u64, String> = BTreeMap::new();
-        let mut until: HashMap<u64, u64> = HashMap::new();
+        let mut expires_at: HashMap<u64, u64> = HashMap::new();
         let (mut nonces, mut processors, mut served) = (Vec::new(), 0, 0);
         for _ in 0..400 {
-            match chance(10) {
+            match random_below(10) {
                 0..=3 => {
-                    w.ask(1500);
+                    fixture.request(1500);
                 }
                 4..=6 => {
-                    let at = chance(held.len().max(1) as u64) as usize;
-                    if let Some((t, u)) = held.iter().nth(at).map(|(t, u)| (*t, u.clone())) {
-                        held.remove(&t);
-                        let end = [SlotEnd::Done, SlotEnd::Done, SlotEnd::Full, SlotEnd::Gone][chance(4) as usize];
+                    let index = random_below(held.len().max(1) as u64) as usize;
+                    if let Some((slot_id, processor)) =
+                        held.iter().nth(index).map(|(slot_id, processor)| (*slot_id, processor.clone()))
+                    {
+                        held.remove(&slot_id);
+                        let end =
+                            [SlotEnd::Done, SlotEnd::Done, SlotEnd::Full, SlotEnd::Gone][random_below(4) as usize];
                         if end == SlotEnd::Gone {
-                            held.retain(|_, x| *x != u);
+                            held.retain(|_, other| *other != processor);
                         }
-                        w.back(t, &u, end);
-                        if chance(5) == 0 {
-                            w.back(t, &u, end);
+                        fixture.release(slot_id, &processor, end);
+                        if random_below(5) == 0 {
+                            fixture.release(slot_id, &processor, end);
                         }
                     }
                 }
                 7 if !nonces.is_empty() => {
-                    let n: String = nonces.swap_remove(chance(nonces.len() as u64) as usize);
-                    if chance(4) == 0 {
-                        w.slot_table.start_failed("f", &n, false, w.now, &mut w.out);
+                    let nonce: String = nonces.swap_remove(random_below(nonces.len() as u64) as usize);
+                    if random_below(4) == 0 {
+                        fixture.slot_table.start_failed("f", &nonce, false, fixture.now, &mut fixture.effects);
                     } else {
                         processors += 1;
-                        w.slot_table.processor_started(
+                        fixture.slot_table.processor_started(
                             "f",
-                            &n,
+                            &nonce,
                             &ack(&format!("u{processors}"), "10.0.0.1:9"),
-                            w.now,
-                            &mut w.out,
+                            fixture.now,
+                            &mut fixture.effects,
                         );
                     }
                 }
-                _ => w.pass(chance(120)),
+                _ => fixture.advance(random_below(120)),
             }
-            for e in std::mem::take(&mut w.out) {
+            for e in std::mem::take(&mut fixture.effects) {
                 match e {
                     Effect::Grant { holder, processor, starting, .. } => {
                         served += 1;
                         held.insert(holder.1, processor.clone());
-                        until.insert(holder.1, w.now + 3000);
-                        if starting && chance(2) == 0 {
-                            w.back(holder.1, &processor, SlotEnd::Up);
+                        expires_at.insert(holder.1, fixture.now + 3000);
+                        if starting && random_below(2) == 0 {
+                            fixture.release(holder.1, &processor, SlotEnd::Up);
                         }
                     }
                     Effect::Start { nonce, .. } => nonces.push(nonce),
-                    Effect::Stop { processor, .. } => held.retain(|_, u| *u != processor),
+                    Effect::Stop { processor, .. } => held.retain(|_, other| *other != processor),
                     Effect::Refuse { .. } => {}
                 }
             }
-            held.retain(|t, _| until[t] > w.now);
-            let mut count: HashMap<&str, usize> = HashMap::new();
-            for u in held.values() {
-                *count.entry(u).or_default() += 1;
+            held.retain(|slot_id, _| expires_at[slot_id] > fixture.now);
+            let mut held_by_processor: HashMap<&str, usize> = HashMap::new();
+            for processor in held.values() {
+                *held_by_processor.entry(processor).or_default() += 1;
             }
-            assert!(count.values().all(|n| *n <= FACTS.slots_per_processor), "seed {seed}: {count:?}");
+            assert!(
+                held_by_processor.values().all(|n| *n <= CONFIG.slots_per_processor),
+                "seed {seed}: {held_by_processor:?}"
+            );
         }
         assert!(served > 20, "seed {seed}: {served} served");
     }
 }
 
 #[test]
-fn a_processor_that_is_fuller_than_was_thought_is_given_less_for_a_while() {
-    let mut w = World::new(&["u1"]);
-    let a = w.ask(2000);
-    w.granted();
-    // Another slot owner's request is there: one slot less until that is over.
-    w.back(a, "u1", SlotEnd::Full);
-    let (b, c) = (w.ask(3000), w.ask(3000));
-    assert_eq!(w.granted(), [(b, "u1".into(), false)]);
-    w.pass(2 * FACTS.boot_ms);
-    assert_eq!(w.granted(), [(c, "u1".into(), false)]);
+fn processor_that_reports_full_is_granted_one_slot_less_for_a_while() {
+    let mut fixture = Fixture::new(&["u1"]);
+    let a = fixture.request(2000);
+    fixture.take_grants();
+    // A request granted by another slot owner runs there: one slot less until it has ended.
+    fixture.release(a, "u1", SlotEnd::Full);
+    let (b, c) = (fixture.request(3000), fixture.request(3000));
+    assert_eq!(fixture.take_grants(), [(b, "u1".into(), false)]);
+    fixture.advance(2 * CONFIG.boot_ms);
+    assert_eq!(fixture.take_grants(), [(c, "u1".into(), false)]);
 }
 
 #[test]
-fn a_wait_that_is_given_up_takes_no_slot() {
-    let mut w = World::new(&["u1"]);
-    let (a, b) = (w.ask(2000), w.ask(2000));
-    assert_eq!(w.granted().len(), 2);
-    let c = w.ask(2000);
-    let d = w.ask(2000);
-    // c is given up while it waits, a after it was granted and before anybody knew.
-    w.back(c, "", SlotEnd::Done);
-    w.back(a, "", SlotEnd::Done);
-    assert_eq!(w.granted(), [(d, "u1".into(), false)]);
-    w.back(b, "u1", SlotEnd::Done);
-    assert!(w.granted().is_empty());
+fn cancelled_request_takes_no_slot() {
+    let mut fixture = Fixture::new(&["u1"]);
+    let (a, b) = (fixture.request(2000), fixture.request(2000));
+    assert_eq!(fixture.take_grants().len(), 2);
+    let c = fixture.request(2000);
+    let d = fixture.request(2000);
+    // c is cancelled while it waits, and a after the grant, which its front has not received yet.
+    fixture.release(c, "", SlotEnd::Done);
+    fixture.release(a, "", SlotEnd::Done);
+    assert_eq!(fixture.take_grants(), [(d, "u1".into(), false)]);
+    fixture.release(b, "u1", SlotEnd::Done);
+    assert!(fixture.take_grants().is_empty());
 }
 
 #[test]
-fn while_a_slot_owner_is_dark_the_next_one_keeps_its_functions_and_no_other_moves() {
+fn only_the_functions_of_an_unresponsive_slot_owner_move() {
     let node = |n: usize| Node { name: format!("front-{n}"), role: "functions".into(), ..Node::default() };
     let membership = Membership { nodes: (0..77).map(node).collect(), ..Membership::default() };
     let fronts = rpc::fronts(&membership);
     let services: Vec<String> = (0..1000).map(|n| format!("p{n}")).collect();
-    let mut kept: HashMap<&str, usize> = HashMap::new();
-    for p in &services {
-        *kept.entry(&rpc::slot_owner(&fronts, p).expect("one").1).or_default() += 1;
+    let mut owned: HashMap<&str, usize> = HashMap::new();
+    for service in &services {
+        *owned.entry(&rpc::slot_owner(&fronts, service).expect("one").1).or_default() += 1;
     }
-    assert!(kept.len() == 77 && kept.values().all(|n| *n < 40), "{kept:?}");
-    for p in &services {
-        let first = &rpc::slot_owner(&fronts, p).expect("one").1;
-        let next = &rpc::slot_owner_but(&fronts, p, |n| n == "front-5").expect("one").1;
+    assert!(owned.len() == 77 && owned.values().all(|n| *n < 40), "{owned:?}");
+    for service in &services {
+        let first = &rpc::slot_owner(&fronts, service).expect("one").1;
+        let next = &rpc::slot_owner_but(&fronts, service, |n| n == "front-5").expect("one").1;
         assert_eq!(first != next, first == "front-5");
     }
 }
 
-/// An ask by a slot id of one's own choice.
-fn ask_by(w: &mut World, slot_id: u64, patience_ms: u32) {
+/// Requests a slot with the given slot id.
+fn request_with_id(fixture: &mut Fixture, slot_id: u64, patience_ms: u32) {
     let (service, front) = ("f".to_owned(), "a".to_owned());
-    let a = SlotRequest {
+    let request = SlotRequest {
         service,
         front,
         slot_id,
@@ -331,64 +355,64 @@
         rank: 0,
         zones: vec![],
     };
-    w.slot_table.request(&a, w.now, &mut w.out);
+    fixture.slot_table.request(&request, fixture.now, &mut fixture.effects);
 }
 
 #[test]
-fn a_slot_that_is_asked_for_twice_by_one_slot_id_is_one() {
-    let mut w = World::new(&["u1"]);
-    ask_by(&mut w, 71, 2000);
-    // The answer was lost, and it is asked again: the same slot.
-    ask_by(&mut w, 71, 2000);
-    assert_eq!(w.granted(), [(71, "u1".into(), false), (71, "u1".into(), false)]);
-    assert_eq!(w.slot_table.usage(), [("f", 1, 1, 0)]);
-    w.back(71, "u1", SlotEnd::Done);
-    assert_eq!(w.slot_table.usage(), [("f", 1, 0, 0)]);
-    // Twice while it waits: one wait.
-    for t in [72, 73, 74, 74] {
-        ask_by(&mut w, t, 2000);
+fn repeated_request_with_the_same_slot_id_gets_one_slot() {
+    let mut fixture = Fixture::new(&["u1"]);
+    request_with_id(&mut fixture, 71, 2000);
+    // The answer was lost, and the request is repeated: it gets the same slot.
+    request_with_id(&mut fixture, 71, 2000);
+    assert_eq!(fixture.take_grants(), [(71, "u1".into(), false), (71, "u1".into(), false)]);
+    assert_eq!(fixture.slot_table.usage(), [("f", 1, 1, 0)]);
+    fixture.release(71, "u1", SlotEnd::Done);
+    assert_eq!(fixture.slot_table.usage(), [("f", 1, 0, 0)]);
+    // A request that is repeated while it waits has one place in the queue.
+    for slot_id in [72, 73, 74, 74] {
+        request_with_id(&mut fixture, slot_id, 2000);
     }
-    assert_eq!(w.slot_table.usage(), [("f", 1, 2, 1)]);
+    assert_eq!(fixture.slot_table.usage(), [("f", 1, 2, 1)]);
 }
 
 #[test]
-fn a_wait_that_was_given_up_before_it_came_takes_no_slot() {
-    let mut w = World::new(&["u1"]);
-    // By a connection that was replaced the ask comes behind the word that it is over.
-    w.back(71, "", SlotEnd::Done);
-    ask_by(&mut w, 71, 2000);
-    assert!(w.granted().is_empty());
-    assert_eq!(w.slot_table.usage(), [("f", 1, 0, 0)]);
-    ask_by(&mut w, 72, 2000);
-    assert_eq!(w.granted(), [(72, "u1".into(), false)]);
+fn request_that_arrives_after_its_cancellation_takes_no_slot() {
+    let mut fixture = Fixture::new(&["u1"]);
+    // The request was sent on a connection that was replaced, and arrives after its cancellation.
+    fixture.release(71, "", SlotEnd::Done);
+    request_with_id(&mut fixture, 71, 2000);
+    assert!(fixture.take_grants().is_empty());
+    assert_eq!(fixture.slot_table.usage(), [("f", 1, 0, 0)]);
+    request_with_id(&mut fixture, 72, 2000);
+    assert_eq!(fixture.take_grants(), [(72, "u1".into(), false)]);
 }
 
 #[test]
-fn a_processor_that_has_work_is_never_stopped() {
-    let mut w = World::new(&[]);
-    // A front holds a slot of one that this slot owner's list does not show yet.
+fn processor_with_a_held_slot_is_not_stopped() {
+    let mut fixture = Fixture::new(&[]);
+    // A front holds a slot of a processor that the platform does not list yet.
     let (service, processor, address) = ("f".to_owned(), "u9".to_owned(), "10.0.0.1:9".to_owned());
-    w.slot_table.record_held(
+    fixture.slot_table.record_held(
         "b",
         &SlotHeld { service, slot_id: 71, processor, address, hold_ms: 9000, ..SlotHeld::default() },
-        w.now,
+        fixture.now,
     );
     let stop = Effect::Stop { service: "f".into(), processor: "u9".into() };
     for _ in 0..8 {
-        w.pass(FACTS.boot_ms);
-        assert!(!w.out.contains(&stop), "it is at work");
+        fixture.advance(CONFIG.boot_ms);
+        assert!(!fixture.effects.contains(&stop), "a processor with a held slot was stopped");
     }
-    w.pass(9000);
-    assert!(w.out.contains(&stop), "its holder is gone, and nobody knows it");
+    fixture.advance(9000);
+    assert!(fixture.effects.contains(&stop), "a processor whose only hold has expired is not stopped");
 }
 
 #[test]
-fn a_front_that_was_cut_off_and_came_back_gives_back_only_its_own() {
-    let mut w = World::new(&["u1"]);
-    let (a, b) = (w.ask(2000), w.ask(2000));
-    assert_eq!(w.granted().len(), 2);
-    w.slot_table.retain_fronts(&HashSet::from(["c".to_owned()]), w.now, &mut w.out);
-    let of = |front: &str, slot_id| SlotRequest {
+fn front_that_returns_after_a_network_partition_releases_only_its_own_slots() {
+    let mut fixture = Fixture::new(&["u1"]);
+    let (a, b) = (fixture.request(2000), fixture.request(2000));
+    assert_eq!(fixture.take_grants().len(), 2);
+    fixture.slot_table.retain_fronts(&HashSet::from(["c".to_owned()]), fixture.now, &mut fixture.effects);
+    let request_from = |front: &str, slot_id| SlotRequest {
         service: "f".into(),
         front: front.into(),
         slot_id,
@@ -397,98 +421,107 @@
         ..SlotRequest::default()
     };
     for slot_id in [1, 2, 3] {
-        w.slot_table.request(&of("c", slot_id), w.now, &mut w.out);
+        fixture.slot_table.request(&request_from("c", slot_id), fixture.now, &mut fixture.effects);
     }
-    assert_eq!(w.granted().len(), 2, "its slots are others' now");
-    // It says so of all it had, twice; the numbers are those of the others.
+    assert_eq!(fixture.take_grants().len(), 2, "its slots are granted to another front");
+    // It releases all of its slots repeatedly, with the slot ids that the other front uses.
     for end in [SlotEnd::Done, SlotEnd::Dark, SlotEnd::Done] {
-        w.back(a, "u1", end);
-        w.back(b, "u1", end);
+        fixture.release(a, "u1", end);
+        fixture.release(b, "u1", end);
     }
-    w.pass(1000);
-    assert_eq!((w.granted().len(), w.slot_table.usage()), (0, vec![("f", 1, 2, 1)]));
+    fixture.advance(1000);
+    assert_eq!((fixture.take_grants().len(), fixture.slot_table.usage()), (0, vec![("f", 1, 2, 1)]));
 }
 
 #[test]
-fn one_that_is_taken_for_gone_and_stands_there_still_is_stopped_in_the_end() {
-    let mut w = World::new(&["u1", "u2"]);
-    let t = w.ask(1000);
-    let (_, processor, _) = w.granted().remove(0);
-    w.back(t, &processor, SlotEnd::Gone);
-    w.out.clear();
-    let stops = |w: &mut World| {
-        let all = std::mem::take(&mut w.out);
+fn removed_processor_that_is_still_listed_is_stopped_again() {
+    let mut fixture = Fixture::new(&["u1", "u2"]);
+    let slot_id = fixture.request(1000);
+    let (_, processor, _) = fixture.take_grants().remove(0);
+    fixture.release(slot_id, &processor, SlotEnd::Gone);
+    fixture.effects.clear();
+    let stops = |fixture: &mut Fixture| {
+        let all = std::mem::take(&mut fixture.effects);
         all.into_iter().filter(|e| matches!(e, Effect::Stop { processor: u, .. } if *u == processor)).count()
     };
-    // The list lags: at first it says nothing.
-    w.list(&["u1", "u2"]);
-    assert_eq!(stops(&mut w), 0);
-    // It is listed still, and takes room that others need; its stop may be lost, too.
+    // The list may lag behind, so at first no stop is requested.
+    fixture.list(&["u1", "u2"]);
+    assert_eq!(stops(&mut fixture), 0);
+    // It is still listed and takes up room. The next stop may be lost as well.
     for _ in 0..2 {
-        w.pass(4000);
-        w.list(&["u1", "u2"]);
-        w.list(&["u1", "u2"]);
-        assert_eq!(stops(&mut w), 1, "asked for once in a while");
+        fixture.advance(4000);
+        fixture.list(&["u1", "u2"]);
+        fixture.list(&["u1", "u2"]);
+        assert_eq!(stops(&mut fixture), 1, "the stop is requested once per interval");
     }
-    // Nothing is granted of it meanwhile.
-    w.ask(1000);
-    assert!(w.granted().iter().all(|g| g.1 != processor));
+    // Its slots are not granted meanwhile.
+    fixture.request(1000);
+    assert!(fixture.take_grants().iter().all(|g| g.1 != processor));
 }
 
 #[test]
-fn a_processor_of_a_removed_service_is_stopped_once_nobody_holds_it() {
-    // The table's "silent for" is 1000 ms: four of them are the time of a removed one.
+fn processor_of_a_removed_service_is_stopped_once_idle() {
+    // The table's `backoff_ms` is 1000: a processor of a removed service is stopped after four
+    // times that.
     const STOP_AFTER: u64 = 4 * 1000;
     let stop = |id: &str| Effect::Stop { service: "f".into(), processor: id.into() };
-    let mut w = World::new(&["u1", "u2"]);
-    let a = w.ask(2000);
-    assert_eq!(w.granted(), [(a, "u2".into(), false)]);
-    w.list_removed(&["u1", "u2"]);
-    w.pass(2900);
-    assert!(w.out.is_empty(), "used by fronts that do not know yet: {:?}", w.out);
-    w.back(a, "u2", SlotEnd::Done);
-    w.pass(STOP_AFTER - 2900 + 1);
-    assert_eq!(w.out, [stop("u1")], "only what was idle for long enough");
-    w.pass(2900);
-    assert_eq!(w.out, [stop("u1"), stop("u2")]);
-    // ListedProcessor still after a while: the stop was lost.
-    w.out.clear();
-    w.pass(STOP_AFTER);
-    w.list_removed(&["u1"]);
-    assert_eq!(w.out, [stop("u1")]);
+    let mut fixture = Fixture::new(&["u1", "u2"]);
+    let a = fixture.request(2000);
+    assert_eq!(fixture.take_grants(), [(a, "u2".into(), false)]);
+    fixture.list_removed(&["u1", "u2"]);
+    fixture.advance(2900);
+    assert!(
+        fixture.effects.is_empty(),
+        "fronts that have not received the change may still use it: {:?}",
+        fixture.effects
+    );
+    fixture.release(a, "u2", SlotEnd::Done);
+    fixture.advance(STOP_AFTER - 2900 + 1);
+    assert_eq!(fixture.effects, [stop("u1")], "only the processor that was idle for long enough is stopped");
+    fixture.advance(2900);
+    assert_eq!(fixture.effects, [stop("u1"), stop("u2")]);
+    // It is still listed after a while: the stop was lost.
+    fixture.effects.clear();
+    fixture.advance(STOP_AFTER);
+    fixture.list_removed(&["u1"]);
+    assert_eq!(fixture.effects, [stop("u1")]);
 }
 
 #[test]
-fn a_processor_of_a_service_that_was_never_known_here_is_stopped_too() {
-    let mut w = World::new(&[]);
-    w.list_removed(&["u1"]);
-    w.pass(4000);
-    assert!(w.out.is_empty(), "{:?}", w.out);
-    w.pass(1);
-    assert_eq!(w.out, [Effect::Stop { service: "f".into(), processor: "u1".into() }]);
+fn processor_of_a_removed_service_unknown_to_this_front_is_stopped() {
+    let mut fixture = Fixture::new(&[]);
+    fixture.list_removed(&["u1"]);
+    fixture.advance(4000);
+    assert!(fixture.effects.is_empty(), "{:?}", fixture.effects);
+    fixture.advance(1);
+    assert_eq!(fixture.effects, [Effect::Stop { service: "f".into(), processor: "u1".into() }]);
 }
 
 #[test]
-fn a_service_that_is_configured_again_is_served_as_before() {
-    let mut w = World::new(&["u1"]);
-    w.list_removed(&["u1"]);
-    w.pass(1000);
-    w.list(&["u1"]);
-    let a = w.ask(2000);
-    assert_eq!(w.granted(), [(a, "u1".into(), false)]);
-    w.back(a, "u1", SlotEnd::Done);
-    w.pass(4 * FACTS.boot_ms);
-    assert!(w.out.is_empty(), "{:?}", w.out);
-    w.pass(1);
-    assert_eq!(w.out, [Effect::Stop { service: "f".into(), processor: "u1".into() }], "idle, as any other");
+fn service_that_is_configured_again_is_served_as_before() {
+    let mut fixture = Fixture::new(&["u1"]);
+    fixture.list_removed(&["u1"]);
+    fixture.advance(1000);
+    fixture.list(&["u1"]);
+    let a = fixture.request(2000);
+    assert_eq!(fixture.take_grants(), [(a, "u1".into(), false)]);
+    fixture.release(a, "u1", SlotEnd::Done);
+    fixture.advance(4 * CONFIG.boot_ms);
+    assert!(fixture.effects.is_empty(), "{:?}", fixture.effects);
+    fixture.advance(1);
+    assert_eq!(
+        fixture.effects,
+        [Effect::Stop { service: "f".into(), processor: "u1".into() }],
+        "an idle processor is stopped"
+    );
 }
 
-/// Of requests of two ranks, one each `every_ms` and the given share of them urgent, how
-/// many in a hundred get a slot: the urgent ones, the others, all. A run takes 50 ms of
-/// one of two slots. By seed, so that no rank comes at regular moments.
+/// The percentage of requests that get a slot: of the urgent ones, of the others, of all. One request
+/// arrives every `every_ms`, and `urgent_in_ten` of ten are urgent. A run holds one of two slots for
+/// 50 ms. Ranks are drawn from a seeded generator, so that none arrives at regular intervals.
 fn served_by_rank(every_ms: u64, urgent_in_ten: u64) -> (u64, u64, u64) {
-    let mut w = World::new(&["u1"]);
-    let (mut asked, mut served) = ([0, 0], [0, 0]);
+    let mut fixture = Fixture::new(&["u1"]);
+    let (mut requested, mut served) = ([0, 0], [0, 0]);
     let mut ranks: HashMap<u64, usize> = HashMap::new();
     let mut ends: BTreeMap<u64, Vec<u64>> = BTreeMap::new();
     let mut random = 0x9e3779b97f4a7c15u64;
@@ -499,7 +532,7 @@
         let rank = usize::from(random % 10 >= urgent_in_ten);
         let (service, front) = ("f".to_owned(), "a".to_owned());
         let (patience_ms, hold_ms, target_start_ms, dark) = (1000, 3000, 400, vec![]);
-        let ask = SlotRequest {
+        let request = SlotRequest {
             service,
             front,
             slot_id: n,
@@ -510,93 +543,101 @@
             rank: rank as u32,
             zones: vec![],
         };
-        asked[rank] += 1;
+        requested[rank] += 1;
         ranks.insert(n, rank);
-        w.slot_table.request(&ask, w.now, &mut w.out);
-        let next = w.now + every_ms;
+        fixture.slot_table.request(&request, fixture.now, &mut fixture.effects);
+        let next = fixture.now + every_ms;
         loop {
-            for (slot_id, _, _) in w.granted() {
+            for (slot_id, _, _) in fixture.take_grants() {
                 served[ranks[&slot_id]] += 1;
-                ends.entry(w.now + 50).or_default().push(slot_id);
+                ends.entry(fixture.now + 50).or_default().push(slot_id);
             }
             let Some(first) = ends.first_entry().filter(|e| *e.key() <= next) else { break };
-            w.now = *first.key();
-            first.remove().into_iter().for_each(|t| w.back(t, "u1", SlotEnd::Done));
+            fixture.now = *first.key();
+            first.remove().into_iter().for_each(|slot_id| fixture.release(slot_id, "u1", SlotEnd::Done));
         }
-        w.pass(next - w.now);
+        fixture.advance(next - fixture.now);
     }
     let percent = |n: u64, of: u64| n * 100 / of.max(1);
-    (percent(served[0], asked[0]), percent(served[1], asked[1]), percent(served[0] + served[1], asked[0] + asked[1]))
+    (
+        percent(served[0], requested[0]),
+        percent(served[1], requested[1]),
+        percent(served[0] + served[1], requested[0] + requested[1]),
+    )
 }
 
 #[test]
-fn urgent_requests_get_slots_before_lesser_ones() {
-    // Forty slots a second: enough for all, for three in four, for two in five.
+fn urgent_requests_get_slots_before_less_urgent_ones() {
+    // Forty runs a second: enough for all requests, for three in four and for two in five.
     for (every_ms, urgent_in_ten) in [(30, 3), (19, 3), (10, 3), (10, 2), (10, 5), (10, 9), (5, 7)] {
-        let (urgent, lesser, all) = served_by_rank(every_ms, urgent_in_ten);
-        assert!(urgent + 5 >= lesser, "{urgent} of urgent and {lesser} of lesser ones");
-        assert!(every_ms < 19 || urgent > 98, "{urgent} of urgent ones, {all} of all");
+        let (urgent, others, all) = served_by_rank(every_ms, urgent_in_ten);
+        assert!(urgent + 5 >= others, "{urgent} % of urgent and {others} % of other requests");
+        assert!(every_ms < 19 || urgent > 98, "{urgent} % of urgent, {all} % of all requests");
     }
 }
 
 #[test]
-fn no_rank_is_shut_out_by_a_more_urgent_one() {
+fn no_rank_is_starved_by_a_more_urgent_one() {
     for (every_ms, urgent_in_ten) in [(10, 9), (5, 9), (5, 7), (4, 5), (3, 9)] {
-        let (urgent, lesser, all) = served_by_rank(every_ms, urgent_in_ten);
-        assert!(lesser * 4 > all, "{urgent} of urgent, {lesser} of lesser, {all} of all");
+        let (urgent, others, all) = served_by_rank(every_ms, urgent_in_ten);
+        assert!(others * 4 > all, "{urgent} % of urgent, {others} % of other, {all} % of all requests");
     }
 }
 
 #[test]
-fn the_processors_of_an_evacuated_zone_are_granted_to_nobody_and_end_once_they_are_idle() {
-    let mut w = World::new(&["u1"]);
-    let first = w.ask(2000);
-    assert_eq!(w.granted(), [(first, "u1".into(), false)]);
-    w.slot_table.set_evacuated_zones(HashSet::from(["z".to_owned()]), w.now, &mut w.out);
-    w.ask(2000);
-    assert!(w.granted().is_empty(), "a free slot of an evacuated zone was granted");
-    let starts = w.starts();
-    assert_eq!(starts.len(), 1, "one in another zone takes its place");
+fn processors_of_an_evacuated_zone_are_not_granted_and_are_stopped_once_idle() {
+    let mut fixture = Fixture::new(&["u1"]);
+    let first = fixture.request(2000);
+    assert_eq!(fixture.take_grants(), [(first, "u1".into(), false)]);
+    fixture.slot_table.set_evacuated_zones(HashSet::from(["z".to_owned()]), fixture.now, &mut fixture.effects);
+    fixture.request(2000);
+    assert!(fixture.take_grants().is_empty(), "a free slot of an evacuated zone was granted");
+    let starts = fixture.take_start_nonces();
+    assert_eq!(starts.len(), 1, "a processor in another zone replaces it");
     let elsewhere = StartAck { zone: "y".into(), ..ack("u2", "10.0.0.2:1") };
-    w.slot_table.processor_started("f", &starts[0], &elsewhere, w.now, &mut w.out);
-    assert_eq!(w.granted().len(), 1);
-    // What runs there ends by itself; then the processor is stopped.
-    w.back(first, "u1", SlotEnd::Done);
-    w.pass(100 * FACTS.boot_ms);
+    fixture.slot_table.processor_started("f", &starts[0], &elsewhere, fixture.now, &mut fixture.effects);
+    assert_eq!(fixture.take_grants().len(), 1);
+    // The run there completes; then the processor is stopped.
+    fixture.release(first, "u1", SlotEnd::Done);
+    fixture.advance(100 * CONFIG.boot_ms);
     let stopped = |e: &Effect| matches!(e, Effect::Stop { processor, .. } if processor == "u1");
-    assert!(w.out.iter().any(stopped));
+    assert!(fixture.effects.iter().any(stopped));
 }
 
 #[test]
-fn a_start_that_was_on_its_way_when_its_zone_was_evacuated_is_granted_to_nobody() {
-    let mut w = World::new(&[]);
-    w.ask(2000);
-    let starts = w.starts();
-    w.slot_table.set_evacuated_zones(HashSet::from(["z".to_owned()]), w.now, &mut w.out);
-    w.slot_table.processor_started("f", &starts[0], &ack("u1", "10.0.0.1:1"), w.now, &mut w.out);
-    assert!(w.granted().is_empty());
-    w.slot_table.set_evacuated_zones(HashSet::new(), w.now, &mut w.out);
-    assert_eq!(w.granted().len(), 1, "taken back, it is used");
+fn processor_that_starts_while_its_zone_is_evacuated_is_not_granted() {
+    let mut fixture = Fixture::new(&[]);
+    fixture.request(2000);
+    let starts = fixture.take_start_nonces();
+    fixture.slot_table.set_evacuated_zones(HashSet::from(["z".to_owned()]), fixture.now, &mut fixture.effects);
+    fixture.slot_table.processor_started("f", &starts[0], &ack("u1", "10.0.0.1:1"), fixture.now, &mut fixture.effects);
+    assert!(fixture.take_grants().is_empty());
+    fixture.slot_table.set_evacuated_zones(HashSet::new(), fixture.now, &mut fixture.effects);
+    assert_eq!(fixture.take_grants().len(), 1, "the processor is used after the end of the evacuation");
 }
 
 #[test]
-fn a_request_that_is_bound_to_zones_gets_no_slot_elsewhere_and_holds_up_nobody() {
-    let mut w = World::new(&["u1"]);
-    let (bound, free) = (w.ask_in(&["y"], 2000), w.ask(2000));
-    assert_eq!(w.granted(), [(free, "u1".into(), false)], "one in another zone was granted, or one behind waits");
-    let all = std::mem::take(&mut w.out);
-    let asked = all.iter().find_map(|e| match e {
+fn request_restricted_to_zones_gets_no_slot_elsewhere_and_delays_no_other() {
+    let mut fixture = Fixture::new(&["u1"]);
+    let (restricted, unrestricted) = (fixture.request_in(&["y"], 2000), fixture.request(2000));
+    assert_eq!(
+        fixture.take_grants(),
+        [(unrestricted, "u1".into(), false)],
+        "a slot in another zone was granted, or a later request waits"
+    );
+    let all = std::mem::take(&mut fixture.effects);
+    let start = all.iter().find_map(|e| match e {
         Effect::Start { nonce, zones, .. } => Some((nonce.clone(), zones.clone())),
         _ => None,
     });
-    let (nonce, zones) = asked.expect("a start in its own zones, though others are up");
+    let (nonce, zones) = start.expect("a start in its zones, although processors are up elsewhere");
     assert_eq!(zones, ["y"]);
-    w.slot_table.processor_started(
+    fixture.slot_table.processor_started(
         "f",
         &nonce,
         &StartAck { zone: "y".into(), ..ack("u2", "10.0.0.2:1") },
-        w.now,
-        &mut w.out,
+        fixture.now,
+        &mut fixture.effects,
     );
-    assert_eq!(w.granted(), [(bound, "u2".into(), true)]);
+    assert_eq!(fixture.take_grants(), [(restricted, "u2".into(), true)]);
 }
