--- a/crates/balance/src/balancer.rs
+++ b/crates/balance/src/balancer.rs
@@ -7,7 +7,7 @@
 //! to answer first, by its own flights and its usual time. Where the zone has none that can
 //! take it, another zone's is.
 
-use crate::health::{Health, Pauses, SendEnd};
+use crate::health::{EjectionBackoff, Health, SendResult};
 use std::collections::HashMap;
 
 /// A processor that may be sent requests.
@@ -46,7 +46,7 @@
 /// The choice of processors at one node. Times are in milliseconds of its steady clock.
 pub struct Balancer {
     zone: String,
-    pauses: Pauses,
+    backoff: EjectionBackoff,
     /// Where this node stands among those of its zone, and how many they are.
     position: (usize, usize),
     pools: HashMap<String, Pool>,
@@ -60,8 +60,8 @@
 
 impl Balancer {
     /// A balancer of a node in a zone that knows of no processor yet.
-    pub fn new(zone: &str, pauses: Pauses) -> Balancer {
-        Balancer { zone: zone.to_owned(), pauses, position: (0, 1), pools: HashMap::new(), health: HashMap::new() }
+    pub fn new(zone: &str, backoff: EjectionBackoff) -> Balancer {
+        Balancer { zone: zone.to_owned(), backoff, position: (0, 1), pools: HashMap::new(), health: HashMap::new() }
     }
 
     /// This node is the one at `index` of `count` in its zone.
@@ -84,7 +84,7 @@
     }
 
     /// How long runs of a service usually take, in milliseconds; `None` before the first.
-    pub fn usual_ms(&self, service: &str) -> Option<f64> {
+    pub fn mean_latency_ms(&self, service: &str) -> Option<f64> {
         self.pools.get(service).map(|pool| pool.usual_ms).filter(|usual| *usual > 0.0)
     }
 
@@ -122,7 +122,7 @@
 
     fn can_take(&self, processor: &Processor, now_ms: u64) -> bool {
         let Some(health) = self.health.get(&processor.id) else { return true };
-        !health.is_shut(now_ms) && self.has_slot(processor) && !(health.is_on_trial() && health.in_flight > 0)
+        !health.is_ejected(now_ms) && self.has_slot(processor) && !(health.is_on_probation() && health.in_flight > 0)
     }
 
     /// How long a request would wait there, about: what this node has there, at the pace that it
@@ -130,9 +130,9 @@
     fn cost(&self, pool: &Pool, processor: &Processor) -> f64 {
         let unknown = Health::default();
         let health = self.health.get(&processor.id).unwrap_or(&unknown);
-        let usual = if health.usual_ms > 0.0 { health.usual_ms } else { pool.usual_ms };
+        let usual = if health.mean_latency_ms > 0.0 { health.mean_latency_ms } else { pool.usual_ms };
         let cold = if processor.is_cold { COLD_FACTOR } else { 1.0 };
-        f64::from(health.in_flight + 1) * usual.max(SHORTEST_MS) * cold * (1.0 + health.failures())
+        f64::from(health.in_flight + 1) * usual.max(SHORTEST_MS) * cold * (1.0 + health.failure_score())
     }
 
     /// A request is sent to a processor of a service.
@@ -144,14 +144,14 @@
     }
 
     /// A request that was sent to a processor of a service has ended.
-    pub fn end(&mut self, service: &str, id: &str, end: SendEnd, now_ms: u64) {
+    pub fn end(&mut self, service: &str, id: &str, end: SendResult, now_ms: u64) {
         if let Some(health) = self.health.get_mut(id) {
-            health.end(end, now_ms, self.pauses);
+            health.end(end, now_ms, self.backoff);
         }
         let Some(pool) = self.pools.get_mut(service) else { return };
         pool.in_flight = pool.in_flight.saturating_sub(1);
-        if let SendEnd::Good { took_ms } = end {
-            let took = took_ms as f64;
+        if let SendResult::Success { latency_ms } = end {
+            let took = latency_ms as f64;
             pool.usual_ms = if pool.usual_ms == 0.0 { took } else { pool.usual_ms + (took - pool.usual_ms) / 50.0 };
         }
     }
--- a/crates/balance/src/health.rs
+++ b/crates/balance/src/health.rs
@@ -3,11 +3,11 @@
 
 /// How a send to a processor ended, as far as choosing goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendResult {
     /// It answered in so many milliseconds, and not with a failure.
-    Good {
+    Success {
         /// From the send to the whole answer.
-        took_ms: u64,
+        latency_ms: u64,
     },
     /// It answered with a failure, broke off, or said nothing.
     Failed,
@@ -23,11 +23,11 @@
 
 /// How long a processor is left out.
 #[derive(Clone, Copy, Debug)]
-pub struct Pauses {
+pub struct EjectionBackoff {
     /// After a refusal, and first after failures; doubled with each further one.
-    pub first_ms: u64,
+    pub initial_ms: u64,
     /// At the most.
-    pub longest_ms: u64,
+    pub max_ms: u64,
 }
 
 /// The weight of the newest run in the usual time of a processor.
@@ -44,27 +44,27 @@
     /// Requests of this node that it has now.
     pub in_flight: u32,
     /// How long its runs usually take; 0 before the first.
-    pub usual_ms: f64,
+    pub mean_latency_ms: f64,
     failures: f64,
-    /// Pauses in a row, without a good answer between them.
+    /// EjectionBackoff in a row, without a good answer between them.
     pauses: u32,
     shut_until_ms: u64,
 }
 
 impl Health {
     /// Whether it is left out now.
-    pub fn is_shut(&self, now_ms: u64) -> bool {
+    pub fn is_ejected(&self, now_ms: u64) -> bool {
         now_ms < self.shut_until_ms
     }
 
     /// Whether it has been left out and has not answered well since: it is given one request
     /// at a time.
-    pub fn is_on_trial(&self) -> bool {
+    pub fn is_on_probation(&self) -> bool {
         self.pauses > 0
     }
 
     /// Failures that count still: more make it less likely to be chosen.
-    pub fn failures(&self) -> f64 {
+    pub fn failure_score(&self) -> f64 {
         self.failures
     }
 
@@ -74,35 +74,35 @@
     }
 
     /// A request that was sent to it has ended.
-    pub fn end(&mut self, end: SendEnd, now_ms: u64, pauses: Pauses) {
+    pub fn end(&mut self, end: SendResult, now_ms: u64, backoff: EjectionBackoff) {
         self.in_flight = self.in_flight.saturating_sub(1);
         match end {
-            SendEnd::Good { took_ms } => self.answered(took_ms as f64),
-            SendEnd::Failed => {
+            SendResult::Success { latency_ms } => self.answered(latency_ms as f64),
+            SendResult::Failed => {
                 self.failures += 1.0;
-                if self.failures >= FAILURES_TO_EJECT || self.is_on_trial() {
-                    self.pause(now_ms, pauses);
+                if self.failures >= FAILURES_TO_EJECT || self.is_on_probation() {
+                    self.pause(now_ms, backoff);
                 }
             }
-            SendEnd::Full => self.shut_until_ms = self.shut_until_ms.max(now_ms + pauses.first_ms),
-            SendEnd::Unreachable => self.pause(now_ms, pauses),
-            SendEnd::Gone => self.shut_until_ms = now_ms + pauses.longest_ms,
-            SendEnd::Abandoned => {}
+            SendResult::Full => self.shut_until_ms = self.shut_until_ms.max(now_ms + backoff.initial_ms),
+            SendResult::Unreachable => self.pause(now_ms, backoff),
+            SendResult::Gone => self.shut_until_ms = now_ms + backoff.max_ms,
+            SendResult::Abandoned => {}
         }
     }
 
-    fn answered(&mut self, took_ms: f64) {
-        self.usual_ms = match self.usual_ms {
-            0.0 => took_ms,
-            usual => usual + (took_ms - usual) * SMOOTHING,
+    fn answered(&mut self, latency_ms: f64) {
+        self.mean_latency_ms = match self.mean_latency_ms {
+            0.0 => latency_ms,
+            usual => usual + (latency_ms - usual) * SMOOTHING,
         };
         self.failures *= FORGIVENESS;
         self.pauses = 0;
     }
 
-    fn pause(&mut self, now_ms: u64, pauses: Pauses) {
-        let longer = pauses.first_ms << self.pauses.min(8);
-        self.shut_until_ms = now_ms + longer.min(pauses.longest_ms);
+    fn pause(&mut self, now_ms: u64, backoff: EjectionBackoff) {
+        let longer = backoff.initial_ms << self.pauses.min(8);
+        self.shut_until_ms = now_ms + longer.min(backoff.max_ms);
         self.pauses += 1;
     }
 }
--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -13,7 +13,7 @@
 mod quota;
 pub use balancer::{Balancer, Processor};
 pub use budget::{BudgetLedger, LeasedBucket, LeasedBuckets};
-pub use health::{Health, Pauses, SendEnd};
+pub use health::{EjectionBackoff, Health, SendResult};
 pub use quota::{
     PartitionSpending, QuotaAnswer, QuotaLedger, QuotaLimit, QuotaReport, QuotaStock, QuotaTake, QuotaTerms,
     WINDOW_PARTS,
--- a/crates/balance/tests/balancer.rs
+++ b/crates/balance/tests/balancer.rs
@@ -1,9 +1,9 @@
 //! The choice of processors on traces: windows, loads, failures that strike one, a zone or all.
 
-use balance::{Balancer, Pauses, Processor, SendEnd};
+use balance::{Balancer, EjectionBackoff, Processor, SendResult};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
-const PAUSES: Pauses = Pauses { first_ms: 500, longest_ms: 3000 };
+const BACKOFF: EjectionBackoff = EjectionBackoff { initial_ms: 500, max_ms: 3000 };
 const SERVICE: &str = "s";
 
 fn processor(id: &str, zone: &str) -> Processor {
@@ -18,7 +18,7 @@
 
 /// A node of zone x, the first of so many there.
 fn balancer(processors: Vec<Processor>, nodes: usize) -> Balancer {
-    let mut balancer = Balancer::new("x", PAUSES);
+    let mut balancer = Balancer::new("x", BACKOFF);
     balancer.set_position(0, nodes);
     balancer.set_processors(HashMap::from([(SERVICE.to_owned(), processors)]));
     balancer
@@ -33,7 +33,7 @@
     balancer: &mut Balancer,
     requests: u64,
     every_ms: u64,
-    outcome: impl Fn(&str, u64) -> SendEnd,
+    outcome: impl Fn(&str, u64) -> SendResult,
 ) -> BTreeMap<String, u64> {
     let mut got = BTreeMap::new();
     for n in 0..requests {
@@ -47,7 +47,7 @@
     got
 }
 
-const GOOD: SendEnd = SendEnd::Good { took_ms: 100 };
+const GOOD: SendResult = SendResult::Success { latency_ms: 100 };
 
 #[test]
 fn the_windows_of_a_zones_nodes_cover_its_processors_evenly() {
@@ -89,7 +89,7 @@
         let ended: Vec<_> = running.iter().filter(|(end, _)| *end <= now).cloned().collect();
         running.retain(|(end, _)| *end > now);
         for (_, id) in ended {
-            balancer.end(SERVICE, &id, SendEnd::Good { took_ms: took(&id) }, now);
+            balancer.end(SERVICE, &id, SendResult::Success { latency_ms: took(&id) }, now);
         }
         if now % 100 == 0
             && let Some(id) = choose(&balancer, now)
@@ -105,7 +105,7 @@
 #[test]
 fn one_that_fails_most_of_its_requests_is_left_out_and_tried_one_at_a_time() {
     let mut balancer = balancer(listed(4), 1);
-    let got = play(&mut balancer, 1000, 10, |id, _| if id == "x1" { SendEnd::Failed } else { GOOD });
+    let got = play(&mut balancer, 1000, 10, |id, _| if id == "x1" { SendResult::Failed } else { GOOD });
     assert!(got.get("x1").copied().unwrap_or(0) < 20, "{got:?}");
     assert!(got.keys().all(|id| id.starts_with('x')), "the others of the zone bear its part: {got:?}");
 }
@@ -116,7 +116,7 @@
     let count = std::cell::Cell::new(0u64);
     let got = play(&mut balancer, 2000, 10, |_, _| {
         count.set(count.get() + 1);
-        if count.get().is_multiple_of(100) { SendEnd::Failed } else { GOOD }
+        if count.get().is_multiple_of(100) { SendResult::Failed } else { GOOD }
     });
     assert!(got.keys().all(|id| id.starts_with('x')), "{got:?}");
 }
@@ -129,8 +129,8 @@
     balancer.begin(SERVICE, "well");
     let is_up = |now: u64| (now / 2000).is_multiple_of(2);
     let got = play(&mut balancer, 4000, 10, |id, now| match id {
-        "flaps" if is_up(now) => SendEnd::Good { took_ms: 20 },
-        "flaps" => SendEnd::Unreachable,
+        "flaps" if is_up(now) => SendResult::Success { latency_ms: 20 },
+        "flaps" => SendResult::Unreachable,
         _ => GOOD,
     });
     let lost = (0..4000u64).filter(|n| !is_up(10_000 + n * 10)).count();
@@ -141,7 +141,7 @@
 #[test]
 fn a_zone_whose_processors_all_fail_is_left_for_the_other() {
     let mut balancer = balancer(listed(4), 1);
-    let got = play(&mut balancer, 1000, 10, |id, _| if id.starts_with('x') { SendEnd::Failed } else { GOOD });
+    let got = play(&mut balancer, 1000, 10, |id, _| if id.starts_with('x') { SendResult::Failed } else { GOOD });
     let away: u64 = got.iter().filter(|(id, _)| id.starts_with('y')).map(|(_, n)| n).sum();
     assert!(away > 900, "{got:?}");
 }
@@ -149,7 +149,7 @@
 #[test]
 fn where_all_fail_requests_go_on_to_be_tried() {
     let mut balancer = balancer(listed(4), 1);
-    let got = play(&mut balancer, 400, 10, |_, _| SendEnd::Failed);
+    let got = play(&mut balancer, 400, 10, |_, _| SendResult::Failed);
     assert_eq!(got.values().sum::<u64>(), 400, "a wave that strikes all refuses nothing");
     assert!(got.len() > 4, "{got:?}");
 }
@@ -157,9 +157,9 @@
 #[test]
 fn a_full_one_is_spared_for_a_moment_and_counts_as_well() {
     let mut balancer = balancer(vec![processor("full", "x"), processor("other", "x")], 1);
-    let got = play(&mut balancer, 100, 10, |id, _| if id == "full" { SendEnd::Full } else { GOOD });
+    let got = play(&mut balancer, 100, 10, |id, _| if id == "full" { SendResult::Full } else { GOOD });
     assert!(got["other"] > 90, "{got:?}");
-    let now = 10_000 + 100 * 10 + PAUSES.first_ms;
+    let now = 10_000 + 100 * 10 + BACKOFF.initial_ms;
     let back: BTreeSet<String> = (0..2)
         .filter_map(|_| {
             let id = choose(&balancer, now)?;
@@ -185,7 +185,7 @@
 fn only_what_is_allowed_is_chosen_though_all_of_it_is_left_out() {
     let mut balancer = balancer(listed(2), 1);
     balancer.begin(SERVICE, "y1");
-    balancer.end(SERVICE, "y1", SendEnd::Unreachable, 10);
+    balancer.end(SERVICE, "y1", SendResult::Unreachable, 10);
     let chosen = balancer.choose(SERVICE, 20, |processor| processor.id == "y1").map(|processor| processor.id.clone());
     assert_eq!(chosen.as_deref(), Some("y1"));
     assert!(balancer.choose(SERVICE, 20, |_| false).is_none());
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,7 +1,7 @@
 //! Forwarding: which sends a request gets, and what its client is told.
 
 use crate::service::GatewayService;
-use balance::SendEnd;
+use balance::SendResult;
 use http1::{Answer, Closing, Reply, Request};
 use proxy::{ClientRequest, ConnectionRules, Failure, SendOutcome, Target, busy, hedged, send};
 use std::sync::Arc;
@@ -26,7 +26,7 @@
     gateway: &'a GatewayService,
     service: &'a str,
     target: Target,
-    end: SendEnd,
+    end: SendResult,
 }
 
 impl Drop for Sending<'_> {
@@ -79,7 +79,7 @@
     /// Sends a request, and beside the first send another one where that takes long and it may
     /// run more than once.
     async fn serve(&self, ask: &ClientRequest<'_>) -> Result<Answer, Failure> {
-        let usual = self.with_state(|state| state.balancer.usual_ms(&ask.service));
+        let usual = self.with_state(|state| state.balancer.mean_latency_ms(&ask.service));
         let Some(usual) = usual.filter(|_| ask.is_safe) else { return self.tries(ask).await };
         let patience_ms = (ask.route.target_latency_ms.max(1.0) * HEDGE_PART).max(usual * HEDGE_FACTOR);
         let second = || {
@@ -131,7 +131,7 @@
     fn begin<'a>(&'a self, ask: &'a ClientRequest<'_>) -> Option<Sending<'a>> {
         let now_ms = self.now_ms();
         let target = self.with_state(|state| state.begin(&self.known.borrow(), ask, now_ms))?;
-        Some(Sending { gateway: self, service: &ask.service, target, end: SendEnd::Abandoned })
+        Some(Sending { gateway: self, service: &ask.service, target, end: SendResult::Abandoned })
     }
 
     /// Sends a request to the processor that was chosen.
@@ -150,16 +150,16 @@
         if outcome.has_not_run() {
             ask.attempts().did_not_run(&processor);
         }
-        let took_ms = sent.elapsed().as_millis().max(1) as u64;
+        let latency_ms = sent.elapsed().as_millis().max(1) as u64;
         let (end, result) = match outcome {
-            SendOutcome::Answered(answer) if answer.status >= 500 => (SendEnd::Failed, Sent::Answered(answer)),
-            SendOutcome::Answered(answer) => (SendEnd::Good { took_ms }, Sent::Answered(answer)),
-            SendOutcome::OtherProcessor => (SendEnd::Gone, Sent::Missed(Failure::not_run())),
-            SendOutcome::Refused => (SendEnd::Full, Sent::Missed(Failure::not_run())),
-            SendOutcome::NotSent { is_gone: true } => (SendEnd::Gone, Sent::Nothing),
-            SendOutcome::NotSent { is_gone: false } => (SendEnd::Unreachable, Sent::Nothing),
-            SendOutcome::Lost => (SendEnd::Failed, Sent::Missed(Failure::MayHaveRun)),
-            SendOutcome::Silent => (SendEnd::Failed, Sent::Missed(Failure::Silent)),
+            SendOutcome::Answered(answer) if answer.status >= 500 => (SendResult::Failed, Sent::Answered(answer)),
+            SendOutcome::Answered(answer) => (SendResult::Success { latency_ms }, Sent::Answered(answer)),
+            SendOutcome::OtherProcessor => (SendResult::Gone, Sent::Missed(Failure::not_run())),
+            SendOutcome::Refused => (SendResult::Full, Sent::Missed(Failure::not_run())),
+            SendOutcome::NotSent { is_gone: true } => (SendResult::Gone, Sent::Nothing),
+            SendOutcome::NotSent { is_gone: false } => (SendResult::Unreachable, Sent::Nothing),
+            SendOutcome::Lost => (SendResult::Failed, Sent::Missed(Failure::MayHaveRun)),
+            SendOutcome::Silent => (SendResult::Failed, Sent::Missed(Failure::Silent)),
         };
         sending.end = end;
         result
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,7 +1,7 @@
 //! What a gateway knows and counts, behind one short lock.
 
 use agent::ClusterView;
-use balance::{Balancer, LeasedBuckets, Pauses, Processor, SendEnd};
+use balance::{Balancer, EjectionBackoff, LeasedBuckets, Processor, SendResult};
 use config::Settings;
 use proxy::{ClientRequest, RetryBudget, Target};
 use rpc::messages::ZoneUse;
@@ -27,13 +27,13 @@
 impl GatewayState {
     pub(crate) fn new(settings: &Settings) -> GatewayState {
         let constraints = &settings.constraints;
-        let pauses = Pauses {
-            first_ms: (constraints.quiet_ms / FIRST_PAUSE_PART) as u64,
-            longest_ms: (constraints.quiet_ms / LONGEST_PAUSE_PART) as u64,
+        let backoff = EjectionBackoff {
+            initial_ms: (constraints.quiet_ms / FIRST_PAUSE_PART) as u64,
+            max_ms: (constraints.quiet_ms / LONGEST_PAUSE_PART) as u64,
         };
         let window = Duration::from_secs_f64(constraints.retry_window_s.max(0.1));
         GatewayState {
-            balancer: Balancer::new(&settings.zone, pauses),
+            balancer: Balancer::new(&settings.zone, backoff),
             retry_budget: RetryBudget::new(constraints.retry_ratio, window, Instant::now()),
             cold_buckets: LeasedBuckets::default(),
             gateways: 1,
@@ -93,7 +93,7 @@
     }
 
     /// A send has ended.
-    pub(crate) fn end(&mut self, service: &str, processor: &str, end: SendEnd, now_ms: u64) {
+    pub(crate) fn end(&mut self, service: &str, processor: &str, end: SendResult, now_ms: u64) {
         self.balancer.end(service, processor, end, now_ms);
     }
 
