--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -15,6 +15,6 @@
 pub use budget::{BudgetLedger, LeasedBucket, LeasedBuckets};
 pub use health::{EjectionBackoff, Health, SendResult};
 pub use quota::{
-    PartitionSpending, QuotaAnswer, QuotaLedger, QuotaLimit, QuotaReport, QuotaStock, QuotaTake, QuotaTerms,
-    WINDOW_PARTS,
+    LocalQuota, PartitionSpending, QuotaAnswer, QuotaLedger, QuotaLimit, QuotaParameters, QuotaReport, QuotaTake,
+    WINDOW_SLICES,
 };
--- a/crates/balance/src/quota.rs
+++ b/crates/balance/src/quota.rs
@@ -1,7 +1,7 @@
 //! Quotas: how many messages of a tenant all nodes together accept in any window.
 //!
 //! One node keeps the [`QuotaLedger`] and is the only one that grants tokens. A holder keeps
-//! what it was granted in a [`QuotaStock`] and spends one for each message; it reports what it
+//! what it was granted in a [`LocalQuota`] and spends one for each message; it reports what it
 //! spent and what it still holds. The ledger counts each token for as long as it may fall into
 //! the window: from the grant until a whole window after it was reported as spent, or after its
 //! lease is surely over. So the sum holds in every window, whatever messages are lost, delayed
@@ -10,10 +10,10 @@
 mod ledger;
 mod stock;
 pub use ledger::{PartitionSpending, QuotaAnswer, QuotaLedger, QuotaReport};
-pub use stock::{QuotaStock, QuotaTake};
+pub use stock::{LocalQuota, QuotaTake};
 
 /// In how many parts a holder tells what it spent in the last window, by age.
-pub const WINDOW_PARTS: u64 = 10;
+pub const WINDOW_SLICES: u64 = 10;
 
 /// What a tenant may have accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -26,7 +26,7 @@
 
 /// How quotas are counted in a deployment.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaTerms {
+pub struct QuotaParameters {
     /// The window over which a limit is counted, in milliseconds.
     pub window_ms: u64,
     /// How long a holder may spend what it holds after it asked, in milliseconds.
@@ -42,7 +42,7 @@
 /// other clocks than the ledger's.
 const USED_PART: f64 = 0.6;
 
-impl QuotaTerms {
+impl QuotaParameters {
     /// Tokens that may be out or spent at any time.
     pub fn capacity(&self, limit: QuotaLimit) -> u64 {
         self.within(limit, self.overshoot * USED_PART, self.slack * USED_PART)
@@ -60,6 +60,6 @@
 
     /// The length of a part of the window, in milliseconds.
     pub fn part_ms(&self) -> u64 {
-        (self.window_ms / WINDOW_PARTS).max(1)
+        (self.window_ms / WINDOW_SLICES).max(1)
     }
 }
--- a/crates/balance/src/quota/ledger.rs
+++ b/crates/balance/src/quota/ledger.rs
@@ -1,6 +1,6 @@
 //! The ledger of the one node that grants tokens.
 
-use super::{QuotaLimit, QuotaTerms};
+use super::{QuotaLimit, QuotaParameters};
 use std::collections::{HashMap, VecDeque};
 
 /// By how much longer the ledger takes a lease to last than its holder does.
@@ -107,7 +107,7 @@
     }
 
     /// Takes what a holder says that it spent on messages of a partition.
-    fn spend(&mut self, holder: &Holder, spending: &PartitionSpending, terms: &QuotaTerms, now_ms: u64) {
+    fn spend(&mut self, holder: &Holder, spending: &PartitionSpending, terms: &QuotaParameters, now_ms: u64) {
         let (window_ms, part_ms) = (terms.window_ms, terms.part_ms());
         let (partition, total) = (spending.partition, spending.spent_total);
         let share = self.shares.entry(holder.clone()).or_default();
@@ -134,7 +134,7 @@
 /// Who holds which tokens, and what was spent. Times are in milliseconds of the steady clock of
 /// the node that keeps it.
 pub struct QuotaLedger {
-    terms: QuotaTerms,
+    terms: QuotaParameters,
     /// From then on everything that a former ledger granted is over, and counts no more.
     opens_at_ms: u64,
     is_settled: bool,
@@ -147,7 +147,7 @@
 
 impl QuotaLedger {
     /// A ledger that begins at `now_ms`. Until it is settled it grants nothing.
-    pub fn new(terms: QuotaTerms, now_ms: u64) -> QuotaLedger {
+    pub fn new(terms: QuotaParameters, now_ms: u64) -> QuotaLedger {
         let opens_at_ms = now_ms + terms.window_ms + fence_ms(&terms);
         QuotaLedger {
             terms,
@@ -173,7 +173,7 @@
 
     /// A holder's request: false if it is to introduce itself, with what it spent in the last
     /// window of every tenant, or if a later one of its requests came before.
-    pub fn hear(&mut self, node: &str, incarnation: u64, sequence: u64, introduces: bool, now_ms: u64) -> bool {
+    pub fn receive(&mut self, node: &str, incarnation: u64, sequence: u64, introduces: bool, now_ms: u64) -> bool {
         if now_ms >= self.expired_at_ms + self.terms.part_ms() / EXPIRIES_IN_A_PART {
             self.expired_at_ms = now_ms;
             self.expire(now_ms);
@@ -261,7 +261,7 @@
         let known = account.spent.iter().filter(|spent| spent.partition.is_some());
         // What is told by age counts for up to two parts longer than it should.
         let window_ms = self.terms.window_ms + 2 * self.terms.part_ms();
-        let bound = QuotaTerms { window_ms, ..self.terms }.bound(limit);
+        let bound = QuotaParameters { window_ms, ..self.terms }.bound(limit);
         Some((known.map(|spent| spent.tokens).sum(), bound))
     }
 
@@ -301,6 +301,6 @@
 }
 
 /// How long what is held may be spent after the ledger answered, in milliseconds.
-fn fence_ms(terms: &QuotaTerms) -> u64 {
+fn fence_ms(terms: &QuotaParameters) -> u64 {
     (terms.lease_ms as f64 * MARGIN).ceil() as u64
 }
--- a/crates/balance/src/quota/stock.rs
+++ b/crates/balance/src/quota/stock.rs
@@ -1,7 +1,7 @@
 //! The tokens of one holder.
 
 use super::ledger::{PartitionSpending, QuotaAnswer, QuotaReport};
-use super::{QuotaTerms, WINDOW_PARTS};
+use super::{QuotaParameters, WINDOW_SLICES};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 
 /// For how much of the demand a holder keeps tokens, in seconds.
@@ -47,7 +47,7 @@
 
     /// What it has by age, in parts.
     fn by_age(&self, now_part: u64) -> Vec<u32> {
-        let mut by_age = vec![0; WINDOW_PARTS as usize + 1];
+        let mut by_age = vec![0; WINDOW_SLICES as usize + 1];
         for (part, count) in &self.counts {
             if let Some(sum) = by_age.get_mut(now_part.saturating_sub(*part) as usize) {
                 *sum += count;
@@ -106,8 +106,8 @@
 }
 
 /// What a holder may spend, tenant by tenant. Times are in milliseconds of its steady clock.
-pub struct QuotaStock {
-    terms: QuotaTerms,
+pub struct LocalQuota {
+    terms: QuotaParameters,
     /// Until when what is held may be spent.
     until_ms: u64,
     /// One for each tenant that it has had a message of.
@@ -116,10 +116,10 @@
     terms_of_partitions: HashMap<u32, u64>,
 }
 
-impl QuotaStock {
+impl LocalQuota {
     /// A holder that holds nothing.
-    pub fn new(terms: QuotaTerms) -> QuotaStock {
-        QuotaStock { terms, until_ms: 0, stocks: HashMap::new(), terms_of_partitions: HashMap::new() }
+    pub fn new(terms: QuotaParameters) -> LocalQuota {
+        LocalQuota { terms, until_ms: 0, stocks: HashMap::new(), terms_of_partitions: HashMap::new() }
     }
 
     fn part(&self, now_ms: u64) -> u64 {
@@ -158,12 +158,12 @@
     }
 
     /// A message waits for a token, whatever is held.
-    pub fn wait(&mut self, tenant: &str) {
+    pub fn add_waiting(&mut self, tenant: &str) {
         self.stocks.entry(tenant.to_owned()).or_default().missing += 1;
     }
 
     /// A message that was told to ask, or to wait, waits no longer.
-    pub fn give_up(&mut self, tenant: &str) {
+    pub fn remove_waiting(&mut self, tenant: &str) {
         if let Some(stock) = self.stocks.get_mut(tenant) {
             stock.missing = stock.missing.saturating_sub(1);
         }
@@ -196,11 +196,11 @@
     pub fn reports(&mut self, introduces: bool, now_ms: u64) -> Vec<QuotaReport> {
         let part = self.part(now_ms);
         let (window_s, is_leased) = (self.terms.window_ms as f64 / 1000.0, now_ms < self.until_ms);
-        let demand_s = window_s * DEMAND_PARTS as f64 / WINDOW_PARTS as f64;
+        let demand_s = window_s * DEMAND_PARTS as f64 / WINDOW_SLICES as f64;
         let mut reports = Vec::new();
         for (tenant, stock) in &mut self.stocks {
             for spending in stock.spendings.values_mut() {
-                spending.spent.forget(part.saturating_sub(WINDOW_PARTS));
+                spending.spent.forget(part.saturating_sub(WINDOW_SLICES));
             }
             stock.demand.forget(part.saturating_sub(DEMAND_PARTS));
             let demand_per_s = f64::from(stock.demand.since((part + 1).saturating_sub(DEMAND_PARTS))) / demand_s;
@@ -220,7 +220,7 @@
     }
 
     /// The answer to reports that were made at `asked_ms`.
-    pub fn answered(&mut self, reports: &[QuotaReport], answers: &[QuotaAnswer], asked_ms: u64, now_ms: u64) {
+    pub fn apply_answers(&mut self, reports: &[QuotaReport], answers: &[QuotaAnswer], asked_ms: u64, now_ms: u64) {
         self.until_ms = self.until_ms.max(asked_ms + self.terms.lease_ms);
         for (report, answer) in reports.iter().zip(answers) {
             let Some(stock) = self.stocks.get_mut(&report.tenant) else { continue };
@@ -241,7 +241,7 @@
     }
 
     /// Whether any tenant has something to report or to want.
-    pub fn has_news(&self) -> bool {
+    pub fn has_pending_report(&self) -> bool {
         self.stocks.values().any(|stock| stock.is_news || stock.held > 0 || stock.missing > 0)
     }
 }
--- a/crates/balance/tests/quota.rs
+++ b/crates/balance/tests/quota.rs
@@ -1,11 +1,11 @@
 //! Quotas over several holders: whatever happens to messages, holders and ledgers, what is
 //! accepted in any window stays inside the bound, and nothing is refused below the limit.
 
-use balance::{QuotaAnswer, QuotaLedger, QuotaLimit, QuotaReport, QuotaStock, QuotaTake, QuotaTerms};
+use balance::{LocalQuota, QuotaAnswer, QuotaLedger, QuotaLimit, QuotaParameters, QuotaReport, QuotaTake};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashSet};
 
-const TERMS: QuotaTerms = QuotaTerms { window_ms: 2000, lease_ms: 600, overshoot: 0.0, slack: 0.0 };
+const TERMS: QuotaParameters = QuotaParameters { window_ms: 2000, lease_ms: 600, overshoot: 0.0, slack: 0.0 };
 const LIMIT: QuotaLimit = QuotaLimit { flow_per_s: 20.0, surge: 10.0 };
 const TENANT: &str = "t";
 const HOLDERS: usize = 3;
@@ -22,7 +22,7 @@
 
 /// One owner of partitions, numbered as its first partition.
 struct Holder {
-    stock: QuotaStock,
+    stock: LocalQuota,
     incarnation: u64,
     sequence: u64,
     introduces: bool,
@@ -33,7 +33,7 @@
 impl Holder {
     fn new(incarnation: u64) -> Holder {
         let owned = BTreeMap::new();
-        Holder { stock: QuotaStock::new(TERMS), incarnation, sequence: 0, introduces: true, owned }
+        Holder { stock: LocalQuota::new(TERMS), incarnation, sequence: 0, introduces: true, owned }
     }
 }
 
@@ -114,7 +114,7 @@
             match answers {
                 Some(answers) => {
                     holder.introduces = false;
-                    holder.stock.answered(&request.reports, &answers, request.asked_ms, now);
+                    holder.stock.apply_answers(&request.reports, &answers, request.asked_ms, now);
                 }
                 None => holder.introduces = true,
             }
@@ -124,7 +124,7 @@
     /// The ledger hears a request: its answers, or none if it wants an introduction.
     fn hear(&mut self, number: usize, request: &Request) -> Option<Option<Vec<QuotaAnswer>>> {
         let (name, now) = (number.to_string(), self.now);
-        if !self.ledger.hear(&name, request.incarnation, request.sequence, request.introduces, now) {
+        if !self.ledger.receive(&name, request.incarnation, request.sequence, request.introduces, now) {
             return Some(None);
         }
         for (partition, term) in &request.counted {
@@ -248,7 +248,7 @@
             }
             for (holder, _) in std::mem::take(&mut waiting) {
                 let stock = &mut world.holders[holder].stock;
-                stock.give_up(TENANT);
+                stock.remove_waiting(TENANT);
                 match stock.take(TENANT, holder as u32, false, world.now) {
                     QuotaTake::Taken => world.logs[0].push(world.now),
                     _ => refused += 1,
@@ -270,8 +270,8 @@
 fn a_new_ledger_grants_nothing_before_it_knows_what_was_spent() {
     let mut ledger = QuotaLedger::new(TERMS, 0);
     let report = QuotaReport { tenant: TENANT.into(), wanted: 5, ..QuotaReport::default() };
-    assert!(!ledger.hear("a", 1, 1, false, 10), "it is to introduce itself");
-    assert!(ledger.hear("a", 1, 2, true, 10));
+    assert!(!ledger.receive("a", 1, 1, false, 10), "it is to introduce itself");
+    assert!(ledger.receive("a", 1, 2, true, 10));
     ledger.report("a", 1, &report, 10);
     assert_eq!(ledger.grant("a", 1, &report, LIMIT, 10).granted, 0);
     ledger.settle();
@@ -283,11 +283,11 @@
     let mut ledger = QuotaLedger::new(TERMS, 0);
     ledger.settle();
     let mut report = QuotaReport { tenant: TENANT.into(), wanted: 12, ..QuotaReport::default() };
-    assert!(ledger.hear("a", 1, 1, true, 10));
+    assert!(ledger.receive("a", 1, 1, true, 10));
     ledger.report("a", 1, &report, 10);
     let granted = ledger.grant("a", 1, &report, LIMIT, 10).granted;
     report.held = granted;
-    assert!(ledger.hear("a", 1, 2, false, 20));
+    assert!(ledger.receive("a", 1, 2, false, 20));
     ledger.report("a", 1, &report, 20);
     let lowered = QuotaLimit { flow_per_s: 1.0, surge: 0.0 };
     let answer = ledger.grant("a", 1, &report, lowered, 20);
@@ -300,14 +300,14 @@
     let mut ledger = QuotaLedger::new(TERMS, 0);
     ledger.settle();
     let report = QuotaReport { tenant: TENANT.into(), wanted: 12, ..QuotaReport::default() };
-    assert!(ledger.hear("silent", 1, 1, true, 10));
+    assert!(ledger.receive("silent", 1, 1, true, 10));
     ledger.report("silent", 1, &report, 10);
     assert_eq!(ledger.grant("silent", 1, &report, LIMIT, 10).granted, 12);
     // It may spend all of it when its lease ends, after 600 ms.
     let mut other = QuotaReport { wanted: 100, ..report };
     for sequence in 1..=26 {
         let now = 10 + sequence * 100;
-        assert!(ledger.hear("other", 1, sequence, sequence == 1, now));
+        assert!(ledger.receive("other", 1, sequence, sequence == 1, now));
         ledger.report("other", 1, &other, now);
         other.held += ledger.grant("other", 1, &other, LIMIT, now).granted;
     }
@@ -317,7 +317,7 @@
 #[test]
 fn a_request_that_is_overtaken_by_a_later_one_changes_nothing() {
     let mut ledger = QuotaLedger::new(TERMS, 0);
-    assert!(ledger.hear("a", 1, 2, true, 10));
-    assert!(!ledger.hear("a", 1, 1, true, 11));
-    assert!(!ledger.hear("a", 1, 2, false, 12), "nor one that comes twice");
+    assert!(ledger.receive("a", 1, 2, true, 10));
+    assert!(!ledger.receive("a", 1, 1, true, 11));
+    assert!(!ledger.receive("a", 1, 2, false, 12), "nor one that comes twice");
 }
--- a/crates/control/src/quota.rs
+++ b/crates/control/src/quota.rs
@@ -6,7 +6,7 @@
 //! was accepted there in the last window; the partition's log records that across owners.
 
 use crate::service::{ControlService, ControlShared};
-use balance::{PartitionSpending, QuotaLedger, QuotaLimit, QuotaReport, QuotaTerms};
+use balance::{PartitionSpending, QuotaLedger, QuotaLimit, QuotaParameters, QuotaReport};
 use config::Settings;
 use rpc::messages::{PartitionUsage, QuotaRequest, QuotaResponse, TenantGrant, TenantUsage};
 
@@ -27,9 +27,9 @@
 }
 
 /// The terms of quotas in these settings; `None` if quotas are off.
-pub(crate) fn quota_terms(settings: &Settings) -> Option<QuotaTerms> {
+pub(crate) fn quota_terms(settings: &Settings) -> Option<QuotaParameters> {
     let constraints = &settings.constraints;
-    (constraints.quota_window_s > 0.0).then(|| QuotaTerms {
+    (constraints.quota_window_s > 0.0).then(|| QuotaParameters {
         window_ms: (constraints.quota_window_s * 1000.0) as u64,
         lease_ms: settings.quota_lease_ms(),
         overshoot: constraints.quota_overshoot,
@@ -61,7 +61,7 @@
 }
 
 impl ControlShared {
-    fn answer_quota(&mut self, request: QuotaRequest, terms: QuotaTerms, now: u64) -> QuotaResponse {
+    fn answer_quota(&mut self, request: QuotaRequest, terms: QuotaParameters, now: u64) -> QuotaResponse {
         let configuration = self.read_configuration();
         let term = self.term();
         let leases = &mut self.quota_leases;
@@ -70,7 +70,7 @@
         }
         let ledger = leases.ledger.get_or_insert_with(|| QuotaLedger::new(terms, now));
         let (node, incarnation) = (request.node.name.as_str(), request.node.incarnation);
-        if !ledger.hear(node, incarnation, request.sequence, request.introduces, now) {
+        if !ledger.receive(node, incarnation, request.sequence, request.introduces, now) {
             return QuotaResponse { introduce: true, ..QuotaResponse::default() };
         }
         for holding in &request.counted {
--- a/crates/store/src/service/quota.rs
+++ b/crates/store/src/service/quota.rs
@@ -2,7 +2,7 @@
 //! partition owners. A message without a token waits for the leader's answer for a short time.
 
 use super::*;
-use balance::{PartitionSpending, QuotaAnswer, QuotaReport, QuotaStock, QuotaTake, QuotaTerms};
+use balance::{LocalQuota, PartitionSpending, QuotaAnswer, QuotaParameters, QuotaReport, QuotaTake};
 
 /// `quietMs` divided by this is the longest time between two checks whether a request to the leader
 /// is due, and the time limit of a request.
@@ -23,7 +23,7 @@
 
 /// The tokens that this owner holds, and its exchange with the leader.
 pub(super) struct QuotaState {
-    stock: QuotaStock,
+    stock: LocalQuota,
     waiting: Vec<WaitingAccept>,
     sequence: u64,
     introduces: bool,
@@ -40,7 +40,7 @@
 pub(super) fn quota_state(settings: &Settings) -> Option<QuotaState> {
     let constraints = &settings.constraints;
     (constraints.quota_window_s > 0.0).then(|| QuotaState {
-        stock: QuotaStock::new(QuotaTerms {
+        stock: LocalQuota::new(QuotaParameters {
             window_ms: (constraints.quota_window_s * 1000.0) as u64,
             lease_ms: settings.quota_lease_ms(),
             overshoot: constraints.quota_overshoot,
@@ -76,7 +76,7 @@
             true => quota.stock.take(tenant, accept.partition, waited_until_ms.is_none(), now),
             // The messages accepted before the take-over are not counted yet.
             false => {
-                quota.stock.wait(tenant);
+                quota.stock.add_waiting(tenant);
                 QuotaTake::Ask
             }
         };
@@ -85,7 +85,7 @@
             QuotaTake::Ask => {
                 let until_ms = waited_until_ms.unwrap_or(now + self.quiet_fraction_ms(TOKEN_WAIT_DIVISOR));
                 if now >= until_ms {
-                    quota.stock.give_up(tenant);
+                    quota.stock.remove_waiting(tenant);
                     telemetry::count("quota_unanswered");
                     refuse_over_quota(responder, UNANSWERED_RETRY_MS);
                     return None;
@@ -132,7 +132,7 @@
         let quota = state.quota.as_mut()?;
         let (last_leader, last_ms) = &quota.last_request;
         let is_renewal_due = last_leader != leader || now >= last_ms + self.settings.quota_lease_ms() / 2;
-        if !is_renewal_due && !quota.is_request_due && !quota.stock.has_news() {
+        if !is_renewal_due && !quota.is_request_due && !quota.stock.has_pending_report() {
             return None;
         }
         quota.introduces |= last_leader != leader;
@@ -167,7 +167,7 @@
                     retry_ms: grant.retry_ms,
                 };
                 let answers: Vec<QuotaAnswer> = response.grants.iter().map(answer).collect();
-                quota.stock.answered(reports, &answers, sent_ms, self.now());
+                quota.stock.apply_answers(reports, &answers, sent_ms, self.now());
             }
             Ok(Body::QuotaResponse(response)) if response.introduce => quota.introduces = true,
             _ => telemetry::count("quota_requests_missed"),
@@ -181,7 +181,7 @@
         let Some(quota) = state.quota.as_mut() else { return };
         let waiting = std::mem::take(&mut quota.waiting);
         for waiting in &waiting {
-            quota.stock.give_up(&waiting.accept.item.tenant);
+            quota.stock.remove_waiting(&waiting.accept.item.tenant);
         }
         for WaitingAccept { accept, responder, until_ms } in waiting {
             self.accept(state, accept, responder, Some(until_ms));
