--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -29,7 +29,7 @@
             Ok(ask) => ask,
             Err(refusal) => return refusal,
         };
-        self.shared.lock().unwrap().retry_budget.sent(begun);
+        self.shared.lock().unwrap().retry_budget.record_request(begun);
         let mut closing = self.closing.subscribe();
         let outcome = tokio::select! {
             // First: what others give back as they end is not to be taken any more.
@@ -65,16 +65,16 @@
     pub(super) fn again(&self) -> bool {
         let fronts = self.fronts.lock().unwrap().len().max(1);
         let slack = self.settings.constraints.retry_slack / fronts as f64;
-        self.shared.lock().unwrap().retry_budget.again(slack, Instant::now())
+        self.shared.lock().unwrap().retry_budget.take_retry(slack, Instant::now())
     }
 
     /// Sends one request until there is an answer, or another try must not be.
     async fn tries(self: &Arc<Self>, ask: &ClientRequest<'_>) -> Result<Answer, Failure> {
         loop {
-            if ask.is_abandoned() {
+            if ask.client_has_left() {
                 return Err(Failure::not_run());
             }
-            let patience = wait_for_slot(ask.route, ask.left());
+            let patience = wait_for_slot(ask.route, ask.remaining());
             let (slot_id, g) = self.slot(&ask.service, ask.route, &ask.zones, patience).await?;
             let back = SlotRelease {
                 service: ask.service.clone(),
@@ -133,15 +133,16 @@
             telemetry::count("sends_spared_evacuated");
             return Heard::Missed(DeliveryFailure::NotSent, SlotEnd::Done);
         }
-        let within = ask.left();
-        if ask.is_abandoned() || within < ask.shortest_run() {
+        let within = ask.remaining();
+        if ask.client_has_left() || within < ask.min_run_time() {
             return Heard::Missed(DeliveryFailure::NotSent, SlotEnd::Done);
         }
         if !ask.attempts().begin(&g.processor) {
             return Heard::TooManyProcessors;
         }
         let target = Target { processor: g.processor.clone(), address: g.address.clone() };
-        let rules = ConnectionRules { newest: self.ratio(20.0), connect: None, refusal: self.ratio(200.0) };
+        let rules =
+            ConnectionRules { max_idle: self.ratio(20.0), connect_timeout: None, probe_timeout: self.ratio(200.0) };
         let outcome = send(&self.pool, ask, &target, within, rules).await;
         if outcome.has_not_run() {
             ask.attempts().did_not_run(&g.processor);
@@ -169,8 +170,8 @@
     async fn wait_until_up(self: &Arc<Self>, ask: &ClientRequest<'_>, g: &SlotGrant, back: &SlotRelease) -> bool {
         let step = self.ratio(200.0);
         loop {
-            let left = ask.left();
-            if left.is_zero() || ask.is_abandoned() {
+            let left = ask.remaining();
+            if left.is_zero() || ask.client_has_left() {
                 return false;
             }
             match self.pool.open(&g.address, left.min(self.ratio(20.0))).await {
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -60,7 +60,7 @@
             Ok(ask) => ask,
             Err(refusal) => return refusal,
         };
-        self.with_state(|state| state.retry_budget.sent(begun));
+        self.with_state(|state| state.retry_budget.record_request(begun));
         let mut closing = self.closing.subscribe();
         let outcome = tokio::select! {
             biased;
@@ -83,15 +83,15 @@
         let Some(usual) = usual.filter(|_| ask.is_safe) else { return self.tries(ask).await };
         let patience_ms = (ask.route.target_latency_ms.max(1.0) * HEDGE_PART).max(usual * HEDGE_FACTOR);
         let second = || {
-            let is_worth_it = ask.attempts().has_room() && self.take_repeat();
+            let is_worth_it = ask.attempts().has_room() && self.take_retry();
             is_worth_it.then(|| self.tries(ask))
         };
         hedged(self.tries(ask), Duration::from_micros((patience_ms * 1000.0) as u64), second).await
     }
 
-    fn take_repeat(&self) -> bool {
+    fn take_retry(&self) -> bool {
         let slack = self.settings.constraints.retry_slack;
-        self.with_state(|state| state.take_repeat(slack))
+        self.with_state(|state| state.take_retry(slack))
     }
 
     /// Sends a request until there is an answer, or another send must not be.
@@ -101,7 +101,7 @@
         let mut fallback = None;
         let mut failure = Failure::not_run();
         for _ in 0..MOST_SENDS {
-            if ask.is_abandoned() || ask.left() < ask.shortest_run() {
+            if ask.client_has_left() || ask.remaining() < ask.min_run_time() {
                 break;
             }
             let Some(sending) = self.begin(ask) else { break };
@@ -119,7 +119,7 @@
                 }
             }
             let may_repeat = ask.is_safe || matches!(failure, Failure::NotRun { .. });
-            if !may_repeat || !ask.attempts().has_room() || !self.take_repeat() {
+            if !may_repeat || !ask.attempts().has_room() || !self.take_retry() {
                 break;
             }
             telemetry::count("sent_again");
@@ -142,11 +142,11 @@
         }
         let sent = Instant::now();
         let rules = ConnectionRules {
-            newest: self.ratio(NEWEST_PART),
-            connect: Some(self.ratio(CONNECT_PART)),
-            refusal: self.ratio(REFUSAL_PART),
+            max_idle: self.ratio(NEWEST_PART),
+            connect_timeout: Some(self.ratio(CONNECT_PART)),
+            probe_timeout: self.ratio(REFUSAL_PART),
         };
-        let outcome = send(&self.pool, ask, &sending.target, ask.left(), rules).await;
+        let outcome = send(&self.pool, ask, &sending.target, ask.remaining(), rules).await;
         if outcome.has_not_run() {
             ask.attempts().did_not_run(&processor);
         }
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -81,7 +81,7 @@
                 && view.assignments.zone_use(&processor.zone, view.membership.version) != ZoneUse::Evacuated
                 && (cold_per_s <= 0.0 || !may_be_cold(processor) || has_token(processor))
         };
-        let is_new = |processor: &Processor| is_allowed(processor) && !ask.attempts().had(&processor.id);
+        let is_new = |processor: &Processor| is_allowed(processor) && !ask.attempts().may_have_run_on(&processor.id);
         let chosen = self.balancer.choose(&ask.service, now_ms, is_new);
         let chosen = chosen.or_else(|| self.balancer.choose(&ask.service, now_ms, is_allowed))?;
         let target = Target { processor: chosen.id.clone(), address: chosen.address.clone() };
@@ -98,8 +98,8 @@
     }
 
     /// Takes one of the repeats that are allowed to this gateway.
-    pub(crate) fn take_repeat(&mut self, slack: f64) -> bool {
+    pub(crate) fn take_retry(&mut self, slack: f64) -> bool {
         let own_slack = slack / self.gateways as f64;
-        self.retry_budget.again(own_slack, Instant::now())
+        self.retry_budget.take_retry(own_slack, Instant::now())
     }
 }
--- a/crates/proxy/src/attempts.rs
+++ b/crates/proxy/src/attempts.rs
@@ -25,7 +25,7 @@
     }
 
     /// Whether a processor may have run the request, or is at it.
-    pub fn had(&self, processor: &str) -> bool {
+    pub fn may_have_run_on(&self, processor: &str) -> bool {
         self.sends.contains_key(processor)
     }
 
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -27,7 +27,7 @@
     /// Its id, which its answer carries.
     pub id: &'a str,
     /// When the client is to have its answer: by its own deadline and the route's timeout.
-    pub end: Instant,
+    pub deadline: Instant,
     /// Whether it may run more than once.
     pub is_safe: bool,
     /// Connections to one processor at the most.
@@ -68,7 +68,7 @@
             zones,
             id,
             // Nothing is held for longer than its route wants it held.
-            end: begun + Duration::from_micros((given_ms.min(route.timeout_ms) * 1000.0) as u64),
+            deadline: begun + Duration::from_micros((given_ms.min(route.timeout_ms) * 1000.0) as u64),
             is_safe: route.mode == "safe",
             connection_limit: limit as usize,
             attempts: Mutex::new(Attempts::new(route.tries)),
@@ -81,12 +81,12 @@
     }
 
     /// How much of its time is left.
-    pub fn left(&self) -> Duration {
-        self.end.saturating_duration_since(Instant::now())
+    pub fn remaining(&self) -> Duration {
+        self.deadline.saturating_duration_since(Instant::now())
     }
 
     /// The shortest deadline of a send: with less, no run is to be expected.
-    pub fn shortest_run(&self) -> Duration {
+    pub fn min_run_time(&self) -> Duration {
         Duration::from_micros((self.route.target_latency_ms * 100.0) as u64).max(Duration::from_millis(2))
     }
 
@@ -101,7 +101,7 @@
     }
 
     /// Whether its client has closed its connection.
-    pub fn is_abandoned(&self) -> bool {
+    pub fn client_has_left(&self) -> bool {
         self.request.departure.has_left()
     }
 }
--- a/crates/proxy/src/retry_budget.rs
+++ b/crates/proxy/src/retry_budget.rs
@@ -33,7 +33,7 @@
     }
 
     /// A request was sent for the first time.
-    pub fn sent(&mut self, now: Instant) {
+    pub fn record_request(&mut self, now: Instant) {
         self.turn(now);
         self.first[0] += 1.0;
     }
@@ -41,7 +41,7 @@
     /// Takes one repeat, if one is left. Counted against the lesser of two windows'
     /// first sends and the greater of their repeats, so that any span of a window
     /// holds.
-    pub fn again(&mut self, slack: f64, now: Instant) -> bool {
+    pub fn take_retry(&mut self, slack: f64, now: Instant) -> bool {
         self.turn(now);
         let allowed = self.ratio * self.first[0].min(self.first[1].max(self.first[0] / 2.0)) + slack;
         if self.again[0] + self.again[1] + 1.0 > allowed {
--- a/crates/proxy/src/send.rs
+++ b/crates/proxy/src/send.rs
@@ -19,11 +19,11 @@
 pub struct ConnectionRules {
     /// For requests that must not run twice: only a connection that was used within this
     /// time, as one that rested longer may be forgotten by the other side.
-    pub newest: Duration,
+    pub max_idle: Duration,
     /// How long a new connection may take; `None`: a quarter of the time of the send.
-    pub connect: Option<Duration>,
+    pub connect_timeout: Option<Duration>,
     /// How long to ask whether anybody listens, where no connection came up.
-    pub refusal: Duration,
+    pub probe_timeout: Duration,
 }
 
 /// What came of a send.
@@ -88,13 +88,15 @@
         headers: &headers,
         body: &ask.request.body,
         id: ask.id,
-        newest: (!ask.is_safe).then_some(rules.newest),
-        connect: rules.connect,
+        newest: (!ask.is_safe).then_some(rules.max_idle),
+        connect: rules.connect_timeout,
     };
     match pool.call(&target.address, call, ask.connection_limit, within).await {
         Ok(answer) => read(answer),
         // Only who refuses is gone: packets of one that is well are lost at times.
-        Err(SendError::NotSent) => SendOutcome::NotSent { is_gone: rpc::refuses(&target.address, rules.refusal).await },
+        Err(SendError::NotSent) => {
+            SendOutcome::NotSent { is_gone: rpc::refuses(&target.address, rules.probe_timeout).await }
+        }
         Err(SendError::Lost) => SendOutcome::Lost,
         Err(SendError::Silent) => SendOutcome::Silent,
     }
--- a/crates/proxy/tests/retry_budget.rs
+++ b/crates/proxy/tests/retry_budget.rs
@@ -14,12 +14,12 @@
         // Busy, then quiet, then busy; every send wants to be repeated.
         if (tick / 70).is_multiple_of(2) {
             for r in &mut all {
-                r.sent(now);
+                r.record_request(now);
                 first.push(tick);
             }
         }
         for r in &mut all {
-            if r.again(slack / f64::from(fronts), now) {
+            if r.take_retry(slack / f64::from(fronts), now) {
                 again.push(tick);
             }
         }
