--- a/crates/balance/src/health.rs
+++ b/crates/balance/src/health.rs
@@ -1,108 +1,110 @@
-//! What one node has seen of one processor: how fast it answers, how it fails, and whether it
-//! is left out for a while.
+//! Passive health checks of one processor by one node: its latency, its recent failures, and
+//! whether it is ejected from load balancing for a while.
 
-/// How a send to a processor ended, as far as choosing goes.
+/// The result of a send to a processor, as far as it matters for load balancing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendResult {
-    /// It answered in so many milliseconds, and not with a failure.
+    /// The processor answered without a failure.
     Success {
-        /// From the send to the whole answer.
+        /// Milliseconds from the send to the complete answer.
         latency_ms: u64,
     },
-    /// It answered with a failure, broke off, or said nothing.
+    /// The processor answered with a failure, broke off the answer, or did not answer.
     Failed,
-    /// It said that it did not run it, as it is full.
+    /// The processor refused the request because it is at capacity, and did not run it.
     Full,
-    /// No connection came up.
+    /// No connection could be established.
     Unreachable,
-    /// Nobody, or another processor, has the address.
+    /// Nothing listens at the address, or another processor has it.
     Gone,
-    /// Nobody waited for it any more.
+    /// The send was cancelled because its answer is not needed any more.
     Abandoned,
 }
 
-/// How long a processor is left out.
+/// How long a processor is ejected.
 #[derive(Clone, Copy, Debug)]
 pub struct EjectionBackoff {
-    /// After a refusal, and first after failures; doubled with each further one.
+    /// The duration after a refusal, and of the first ejection after failures; doubled with each
+    /// further ejection.
     pub initial_ms: u64,
-    /// At the most.
+    /// The longest duration.
     pub max_ms: u64,
 }
 
-/// The weight of the newest run in the usual time of a processor.
-const SMOOTHING: f64 = 0.1;
-/// What is left of a processor's failures after a good answer.
-const FORGIVENESS: f64 = 0.5;
-/// So many failures, less those forgiven since, leave a processor out: one may be the
-/// request's own.
+/// The weight of the newest sample in the moving average of a processor's latency.
+const LATENCY_WEIGHT: f64 = 0.1;
+/// The failure score is multiplied by this after each successful answer.
+const FAILURE_DECAY: f64 = 0.5;
+/// The failure score at which a processor is ejected. More than one failure is needed, since a
+/// single one may be caused by the request itself.
 const FAILURES_TO_EJECT: f64 = 1.5;
 
-/// The state of one processor at one node. Times are in milliseconds.
+/// The health of one processor as one node sees it. Times are in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
-    /// Requests of this node that it has now.
+    /// Requests of this node that are in flight to it.
     pub in_flight: u32,
-    /// How long its runs usually take; 0 before the first.
+    /// The moving average of its latency; 0 before the first success.
     pub mean_latency_ms: f64,
-    failures: f64,
-    /// EjectionBackoff in a row, without a good answer between them.
-    pauses: u32,
-    shut_until_ms: u64,
+    /// The number of failures, decayed by successes.
+    failure_score: f64,
+    /// Ejections since the last success.
+    consecutive_ejections: u32,
+    ejected_until_ms: u64,
 }
 
 impl Health {
-    /// Whether it is left out now.
+    /// Whether it is ejected at this time.
     pub fn is_ejected(&self, now_ms: u64) -> bool {
-        now_ms < self.shut_until_ms
+        now_ms < self.ejected_until_ms
     }
 
-    /// Whether it has been left out and has not answered well since: it is given one request
+    /// Whether it has not answered successfully since its last ejection. It then gets one request
     /// at a time.
     pub fn is_on_probation(&self) -> bool {
-        self.pauses > 0
+        self.consecutive_ejections > 0
     }
 
-    /// Failures that count still: more make it less likely to be chosen.
+    /// The decayed number of failures; a higher one makes its selection less likely.
     pub fn failure_score(&self) -> f64 {
-        self.failures
+        self.failure_score
     }
 
-    /// A request is sent to it.
+    /// Records that a request is sent to it.
     pub fn begin(&mut self) {
         self.in_flight += 1;
     }
 
-    /// A request that was sent to it has ended.
-    pub fn end(&mut self, end: SendResult, now_ms: u64, backoff: EjectionBackoff) {
+    /// Records the result of a request that was sent to it.
+    pub fn end(&mut self, result: SendResult, now_ms: u64, backoff: EjectionBackoff) {
         self.in_flight = self.in_flight.saturating_sub(1);
-        match end {
-            SendResult::Success { latency_ms } => self.answered(latency_ms as f64),
+        match result {
+            SendResult::Success { latency_ms } => self.record_success(latency_ms as f64),
             SendResult::Failed => {
-                self.failures += 1.0;
-                if self.failures >= FAILURES_TO_EJECT || self.is_on_probation() {
-                    self.pause(now_ms, backoff);
+                self.failure_score += 1.0;
+                if self.failure_score >= FAILURES_TO_EJECT || self.is_on_probation() {
+                    self.eject(now_ms, backoff);
                 }
             }
-            SendResult::Full => self.shut_until_ms = self.shut_until_ms.max(now_ms + backoff.initial_ms),
-            SendResult::Unreachable => self.pause(now_ms, backoff),
-            SendResult::Gone => self.shut_until_ms = now_ms + backoff.max_ms,
+            SendResult::Full => self.ejected_until_ms = self.ejected_until_ms.max(now_ms + backoff.initial_ms),
+            SendResult::Unreachable => self.eject(now_ms, backoff),
+            SendResult::Gone => self.ejected_until_ms = now_ms + backoff.max_ms,
             SendResult::Abandoned => {}
         }
     }
 
-    fn answered(&mut self, latency_ms: f64) {
+    fn record_success(&mut self, latency_ms: f64) {
         self.mean_latency_ms = match self.mean_latency_ms {
             0.0 => latency_ms,
-            usual => usual + (latency_ms - usual) * SMOOTHING,
+            mean => mean + (latency_ms - mean) * LATENCY_WEIGHT,
         };
-        self.failures *= FORGIVENESS;
-        self.pauses = 0;
+        self.failure_score *= FAILURE_DECAY;
+        self.consecutive_ejections = 0;
     }
 
-    fn pause(&mut self, now_ms: u64, backoff: EjectionBackoff) {
-        let longer = backoff.initial_ms << self.pauses.min(8);
-        self.shut_until_ms = now_ms + longer.min(backoff.max_ms);
-        self.pauses += 1;
+    fn eject(&mut self, now_ms: u64, backoff: EjectionBackoff) {
+        let duration_ms = backoff.initial_ms << self.consecutive_ejections.min(8);
+        self.ejected_until_ms = now_ms + duration_ms.min(backoff.max_ms);
+        self.consecutive_ejections += 1;
     }
 }
