--- a/crates/balance/src/lib.rs
+++ b/crates/balance/src/lib.rs
@@ -1,9 +1,7 @@
-//! Decisions of the tiers that send requests to processors: how much a processor may be sent,
-//! and a tenant may have accepted, by all machines together, and which processor gets the next
-//! request.
+//! Load balancing, leased rate budgets and tenant quotas.
 //!
-//! Pure: time is given to every call, and nothing here does I/O. Depends on nothing else of
-//! this project.
+//! The logic is pure: callers pass the time to each call, and nothing here does I/O. The crate
+//! depends on no other crate of this workspace.
 
 #![warn(missing_docs)]
 
