--- a/crates/balance/src/quota/ledger.rs
+++ b/crates/balance/src/quota/ledger.rs
@@ -108,7 +108,7 @@
 
     /// Takes what a holder says that it spent on messages of a partition.
     fn spend(&mut self, holder: &Holder, spending: &PartitionSpending, terms: &QuotaParameters, now_ms: u64) {
-        let (window_ms, part_ms) = (terms.window_ms, terms.part_ms());
+        let (window_ms, slice_ms) = (terms.window_ms, terms.slice_ms());
         let (partition, total) = (spending.partition, spending.spent_total);
         let share = self.shares.entry(holder.clone()).or_default();
         let former = share.totals.insert(partition, total).unwrap_or(0);
@@ -119,7 +119,7 @@
         self.forget_partition(partition);
         for (tokens, part) in spending.recent.iter().zip(0u64..) {
             // What is in the part before now's may be as young as nothing.
-            let age_ms = part.saturating_sub(1) * part_ms;
+            let age_ms = part.saturating_sub(1) * slice_ms;
             if age_ms < window_ms {
                 self.count_spent(u64::from(*tokens), now_ms + window_ms - age_ms, Some(partition));
             }
@@ -174,7 +174,7 @@
     /// A holder's request: false if it is to introduce itself, with what it spent in the last
     /// window of every tenant, or if a later one of its requests came before.
     pub fn receive(&mut self, node: &str, incarnation: u64, sequence: u64, introduces: bool, now_ms: u64) -> bool {
-        if now_ms >= self.expired_at_ms + self.terms.part_ms() / EXPIRIES_IN_A_PART {
+        if now_ms >= self.expired_at_ms + self.terms.slice_ms() / EXPIRIES_IN_A_PART {
             self.expired_at_ms = now_ms;
             self.expire(now_ms);
         }
@@ -260,7 +260,7 @@
         let account = self.accounts.get(tenant).filter(|account| account.lowered_until_ms <= now_ms)?;
         let known = account.spent.iter().filter(|spent| spent.partition.is_some());
         // What is told by age counts for up to two parts longer than it should.
-        let window_ms = self.terms.window_ms + 2 * self.terms.part_ms();
+        let window_ms = self.terms.window_ms + 2 * self.terms.slice_ms();
         let bound = QuotaParameters { window_ms, ..self.terms }.bound(limit);
         Some((known.map(|spent| spent.tokens).sum(), bound))
     }
--- a/crates/balance/src/quota/stock.rs
+++ b/crates/balance/src/quota/stock.rs
@@ -123,7 +123,7 @@
     }
 
     fn part(&self, now_ms: u64) -> u64 {
-        now_ms / self.terms.part_ms()
+        now_ms / self.terms.slice_ms()
     }
 
     /// Takes a token for one message of a tenant for a partition. `is_first`: it was not told to ask before,
