--- a/crates/balance/src/quota.rs
+++ b/crates/balance/src/quota.rs
@@ -9,9 +9,9 @@
 //! duplicated, or holders crash.
 
 mod ledger;
-mod stock;
+mod local;
 pub use ledger::{PartitionSpending, QuotaAnswer, QuotaLedger, QuotaReport};
-pub use stock::{LocalQuota, QuotaTake};
+pub use local::{LocalQuota, QuotaTake};
 
 /// The number of slices by age in which a holder reports what it spent in the last window.
 pub const WINDOW_SLICES: u64 = 10;
