--- a/crates/functions/src/gateway.rs
+++ b/crates/functions/src/gateway.rs
@@ -9,7 +9,7 @@
 use agent::{ClusterView, Follower};
 use config::{Role, Route, Settings};
 use http1::{Answer, Bounds, ClientWatch, Closing, ConnectionPool, Reply, Request};
-use proxy::{ClientRequest, ConnectionRules, Failure, RetryBudget, SendOutcome, Target, busy, hedged, send};
+use proxy::{ClientRequest, ConnectionRules, Failure, RetryBudget, SendOutcome, Target, hedged, send, unavailable};
 use rpc::messages::*;
 use rpc::{Body, DeliveryFailure, ExecutionOutcome, Responder, RetryOwner, RetrySafety, RpcClients};
 use std::collections::{HashMap, HashSet};
--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -23,7 +23,7 @@
         let begun = Instant::now();
         let configuration = self.known.borrow().configuration.clone();
         if configuration.revision == 0 {
-            return busy(500);
+            return unavailable(500);
         }
         let ask = match ClientRequest::read(&r, &configuration, &self.settings, begun) {
             Ok(ask) => ask,
@@ -112,7 +112,7 @@
                 }
                 _ => {
                     telemetry::count("sends_unclear");
-                    if gap == DeliveryFailure::Silent { Failure::Silent } else { Failure::MayHaveRun }
+                    if gap == DeliveryFailure::Silent { Failure::TimedOut } else { Failure::MayHaveRun }
                 }
             };
             let again = gap.again(if ask.is_safe { RetrySafety::Safe } else { RetrySafety::Unsafe });
@@ -154,8 +154,8 @@
             SendOutcome::NotSent { is_gone: true } => Heard::Missed(DeliveryFailure::NotSent, SlotEnd::Gone),
             SendOutcome::NotSent { is_gone: false } => Heard::Missed(DeliveryFailure::NotSent, SlotEnd::Dark),
             SendOutcome::Lost => Heard::Missed(DeliveryFailure::Lost, SlotEnd::Done),
-            SendOutcome::Silent if g.starting => Heard::Missed(DeliveryFailure::Silent, SlotEnd::Dark),
-            SendOutcome::Silent => Heard::Missed(DeliveryFailure::Silent, SlotEnd::Done),
+            SendOutcome::TimedOut if g.starting => Heard::Missed(DeliveryFailure::Silent, SlotEnd::Dark),
+            SendOutcome::TimedOut => Heard::Missed(DeliveryFailure::Silent, SlotEnd::Done),
         }
     }
 
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -3,7 +3,7 @@
 use crate::service::GatewayService;
 use balance::SendResult;
 use http1::{Answer, Closing, Reply, Request};
-use proxy::{ClientRequest, ConnectionRules, Failure, SendOutcome, Target, busy, hedged, send};
+use proxy::{ClientRequest, ConnectionRules, Failure, SendOutcome, Target, hedged, send, unavailable};
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
@@ -54,7 +54,7 @@
         let begun = Instant::now();
         let configuration = self.known.borrow().configuration.clone();
         if configuration.revision == 0 {
-            return busy(UNCONFIGURED_RETRY_MS);
+            return unavailable(UNCONFIGURED_RETRY_MS);
         }
         let ask = match ClientRequest::read(&request, &configuration, &self.settings, begun) {
             Ok(ask) => ask,
@@ -159,7 +159,7 @@
             SendOutcome::NotSent { is_gone: true } => (SendResult::Gone, Sent::Nothing),
             SendOutcome::NotSent { is_gone: false } => (SendResult::Unreachable, Sent::Nothing),
             SendOutcome::Lost => (SendResult::Failed, Sent::Missed(Failure::MayHaveRun)),
-            SendOutcome::Silent => (SendResult::Failed, Sent::Missed(Failure::Silent)),
+            SendOutcome::TimedOut => (SendResult::Failed, Sent::Missed(Failure::TimedOut)),
         };
         sending.end = end;
         result
--- a/crates/proxy/src/failure.rs
+++ b/crates/proxy/src/failure.rs
@@ -1,6 +1,6 @@
 //! Answers to clients: those of processors, unchanged, and those of this system.
 
-use crate::headers::hop_by_hop;
+use crate::headers::is_hop_by_hop;
 use http1::{Answer, Reply};
 
 /// Why a request ends without a processor's answer.
@@ -14,7 +14,7 @@
     /// A processor may have run it, and its answer was lost.
     MayHaveRun,
     /// A processor had it and was silent until its time was over.
-    Silent,
+    TimedOut,
 }
 
 /// After how long a client may try again where nothing better is known, in milliseconds.
@@ -26,7 +26,7 @@
 }
 
 /// The promise that a request has not run, and when to try again.
-pub fn busy(retry_ms: u64) -> Reply {
+pub fn unavailable(retry_ms: u64) -> Reply {
     let secs = (retry_ms as f64 / 1000.0).clamp(0.02, 5.0);
     fault(503, "no processor can take it now").with("Retry-After", format!("{secs:.2}"))
 }
@@ -52,13 +52,13 @@
         match self {
             Failure::NotRun { retry_ms } => {
                 telemetry::count("answers_503");
-                busy(retry_ms)
+                unavailable(retry_ms)
             }
             Failure::MayHaveRun => {
                 telemetry::count("answers_502");
                 fault(502, "it may have run")
             }
-            Failure::Silent => {
+            Failure::TimedOut => {
                 telemetry::count("answers_504");
                 fault(504, "no answer in time")
             }
@@ -69,6 +69,6 @@
 /// A processor's answer as the client gets it.
 pub fn reply_of(answer: Answer) -> Reply {
     let connection = answer.header("connection").unwrap_or("").to_owned();
-    let passed = answer.headers.into_iter().filter(|(name, _)| !hop_by_hop(name, &connection)).collect();
+    let passed = answer.headers.into_iter().filter(|(name, _)| !is_hop_by_hop(name, &connection)).collect();
     Reply { body: answer.body, passed, ..Reply::new(answer.status) }
 }
--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -1,7 +1,7 @@
 //! Which headers are passed on.
 
 /// Whether a header concerns one connection only, or is written anew for the next.
-pub fn hop_by_hop(name: &str, connection: &str) -> bool {
+pub fn is_hop_by_hop(name: &str, connection: &str) -> bool {
     const OWN: [&str; 9] = [
         "connection",
         "keep-alive",
--- a/crates/proxy/src/send.rs
+++ b/crates/proxy/src/send.rs
@@ -1,6 +1,6 @@
 //! One send of a request to a processor, and what came of it.
 
-use crate::headers::hop_by_hop;
+use crate::headers::is_hop_by_hop;
 use crate::request::ClientRequest;
 use http1::{Answer, Call, ConnectionPool, SendError};
 use std::time::Duration;
@@ -43,7 +43,7 @@
     /// It may have run, and there is no answer that can be given to the client.
     Lost,
     /// It may have run, and nothing was heard until its time was over.
-    Silent,
+    TimedOut,
 }
 
 impl SendOutcome {
@@ -62,8 +62,9 @@
 fn passed_headers<'a>(ask: &ClientRequest<'a>, target: &'a Target, deadline_ms: &'a str) -> Vec<(&'a str, &'a str)> {
     const WRITTEN_ANEW: [&str; 3] = ["host", "x-deadline-ms", "x-target-instance"];
     let connection = ask.request.header("connection").unwrap_or("");
-    let is_passed =
-        |name: &str| !hop_by_hop(name, connection) && !WRITTEN_ANEW.iter().any(|anew| name.eq_ignore_ascii_case(anew));
+    let is_passed = |name: &str| {
+        !is_hop_by_hop(name, connection) && !WRITTEN_ANEW.iter().any(|anew| name.eq_ignore_ascii_case(anew))
+    };
     let given = ask.request.headers.iter().filter(|(name, _)| is_passed(name));
     let mut headers: Vec<(&str, &str)> = given.map(|(name, value)| (name.as_str(), value.as_str())).collect();
     headers.push(("X-Deadline-Ms", deadline_ms));
@@ -98,7 +99,7 @@
             SendOutcome::NotSent { is_gone: rpc::refuses(&target.address, rules.probe_timeout).await }
         }
         Err(SendError::Lost) => SendOutcome::Lost,
-        Err(SendError::Silent) => SendOutcome::Silent,
+        Err(SendError::Silent) => SendOutcome::TimedOut,
     }
 }
 
@@ -115,7 +116,7 @@
             telemetry::count("answers_not_whole");
             SendOutcome::Lost
         }
-        504 => SendOutcome::Silent,
+        504 => SendOutcome::TimedOut,
         // It is not said that it did not run, which is what the client would read.
         status if promises_not_run(status) => {
             telemetry::count("promises_of_nobody");
