--- a/crates/proxy/src/headers.rs
+++ b/crates/proxy/src/headers.rs
@@ -1,8 +1,9 @@
-//! Which headers are passed on.
+//! Selects the headers that are forwarded.
 
-/// Whether a header concerns one connection only, or is written anew for the next.
+/// Whether a header applies to a single connection only, by its name or by the value of the
+/// `Connection` header, or is written anew for the next connection.
 pub fn is_hop_by_hop(name: &str, connection: &str) -> bool {
-    const OWN: [&str; 9] = [
+    const HOP_BY_HOP: [&str; 9] = [
         "connection",
         "keep-alive",
         "proxy-connection",
@@ -13,6 +14,6 @@
         "expect",
         "content-length",
     ];
-    OWN.iter().any(|o| name.eq_ignore_ascii_case(o))
-        || connection.split(',').any(|c| c.trim().eq_ignore_ascii_case(name))
+    HOP_BY_HOP.iter().any(|header| name.eq_ignore_ascii_case(header))
+        || connection.split(',').any(|option| option.trim().eq_ignore_ascii_case(name))
 }
