--- a/crates/proxy/src/send.rs
+++ b/crates/proxy/src/send.rs
@@ -1,48 +1,49 @@
-//! One send of a request to a processor, and what came of it.
+//! A single send of a request to a processor, and its outcome.
 
 use crate::headers::is_hop_by_hop;
 use crate::request::ClientRequest;
 use http1::{Answer, Call, ConnectionPool, SendError};
 use std::time::Duration;
 
-/// A processor that a request is sent to.
+/// A processor to which a request is sent.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its id, which it is told: any other one at that address refuses.
+    /// Its id, which is sent along: a different processor at that address refuses the request.
     pub processor: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: String,
 }
 
-/// Which connections a send may use.
+/// The rules for the connection of a send.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionRules {
-    /// For requests that must not run twice: only a connection that was used within this
-    /// time, as one that rested longer may be forgotten by the other side.
+    /// For requests that must not run twice: a pooled connection is used only if it has been idle
+    /// for at most this time, as the peer may have dropped one that was idle for longer.
     pub max_idle: Duration,
-    /// How long a new connection may take; `None`: a quarter of the time of the send.
+    /// The timeout for a new connection; `None` for a quarter of the send's timeout.
     pub connect_timeout: Option<Duration>,
-    /// How long to ask whether anybody listens, where no connection came up.
+    /// The timeout of the check whether the address refuses connections, which is made if no
+    /// connection could be established.
     pub probe_timeout: Duration,
 }
 
-/// What came of a send.
+/// The outcome of a send.
 #[derive(Debug)]
 pub enum SendOutcome {
-    /// The processor's answer, whole.
+    /// The processor's complete answer.
     Answered(Answer),
-    /// Another processor has the address: it did not run.
+    /// Another processor has the address; the request did not run.
     OtherProcessor,
-    /// The processor says that it did not run it.
+    /// The processor reported that it did not run the request.
     Refused,
     /// Nothing was sent.
     NotSent {
-        /// Nobody listens at the address.
+        /// Whether the address refuses connections.
         is_gone: bool,
     },
-    /// It may have run, and there is no answer that can be given to the client.
+    /// The request may have run, and there is no answer that can be forwarded to the client.
     Lost,
-    /// It may have run, and nothing was heard until its time was over.
+    /// The request may have run, and no answer came before the timeout.
     TimedOut,
 }
 
@@ -53,48 +54,53 @@
     }
 }
 
-/// Whether a status tells a client that its request has not run and never will.
-fn promises_not_run(status: u16) -> bool {
+/// Whether a status implies to the client that its request has not run and never will.
+fn implies_not_run(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-/// The headers that are passed on, with those that are written anew.
-fn passed_headers<'a>(ask: &ClientRequest<'a>, target: &'a Target, deadline_ms: &'a str) -> Vec<(&'a str, &'a str)> {
-    const WRITTEN_ANEW: [&str; 3] = ["host", "x-deadline-ms", "x-target-instance"];
-    let connection = ask.request.header("connection").unwrap_or("");
-    let is_passed = |name: &str| {
-        !is_hop_by_hop(name, connection) && !WRITTEN_ANEW.iter().any(|anew| name.eq_ignore_ascii_case(anew))
+/// The headers that are forwarded, and those that are rewritten for the processor.
+fn forwarded_headers<'a>(
+    client_request: &ClientRequest<'a>,
+    target: &'a Target,
+    deadline_ms: &'a str,
+) -> Vec<(&'a str, &'a str)> {
+    const REWRITTEN: [&str; 3] = ["host", "x-deadline-ms", "x-target-instance"];
+    let connection = client_request.request.header("connection").unwrap_or("");
+    let is_forwarded = |name: &str| {
+        !is_hop_by_hop(name, connection) && !REWRITTEN.iter().any(|rewritten| name.eq_ignore_ascii_case(rewritten))
     };
-    let given = ask.request.headers.iter().filter(|(name, _)| is_passed(name));
+    let given = client_request.request.headers.iter().filter(|(name, _)| is_forwarded(name));
     let mut headers: Vec<(&str, &str)> = given.map(|(name, value)| (name.as_str(), value.as_str())).collect();
     headers.push(("X-Deadline-Ms", deadline_ms));
     headers.push(("X-Target-Instance", &target.processor));
     headers
 }
 
-/// Sends a request to a processor, which has `within` to answer.
+/// Sends a request to a processor and waits up to `timeout` for its answer.
 pub async fn send(
     pool: &ConnectionPool,
-    ask: &ClientRequest<'_>,
+    client_request: &ClientRequest<'_>,
     target: &Target,
-    within: Duration,
+    timeout: Duration,
     rules: ConnectionRules,
 ) -> SendOutcome {
-    let deadline_ms = within.as_millis().to_string();
-    let headers = passed_headers(ask, target, &deadline_ms);
+    let deadline_ms = timeout.as_millis().to_string();
+    let headers = forwarded_headers(client_request, target, &deadline_ms);
     let call = Call {
-        method: &ask.request.method,
-        path: &ask.request.path,
-        host: ask.request.header("host").unwrap_or(""),
+        method: &client_request.request.method,
+        path: &client_request.request.path,
+        host: client_request.request.header("host").unwrap_or(""),
         headers: &headers,
-        body: &ask.request.body,
-        id: ask.id,
-        newest: (!ask.is_safe).then_some(rules.max_idle),
+        body: &client_request.request.body,
+        id: client_request.id,
+        newest: (!client_request.is_safe).then_some(rules.max_idle),
         connect: rules.connect_timeout,
     };
-    match pool.call(&target.address, call, ask.connection_limit, within).await {
-        Ok(answer) => read(answer),
-        // Only who refuses is gone: packets of one that is well are lost at times.
+    match pool.call(&target.address, call, client_request.connection_limit, timeout).await {
+        Ok(answer) => classify(answer),
+        // Only a refused connection shows that the processor is gone, as packets of a healthy one
+        // can be lost.
         Err(SendError::NotSent) => {
             SendOutcome::NotSent { is_gone: rpc::refuses(&target.address, rules.probe_timeout).await }
         }
@@ -103,8 +109,8 @@
     }
 }
 
-/// What an answer means.
-fn read(answer: Answer) -> SendOutcome {
+/// Classifies an answer.
+fn classify(answer: Answer) -> SendOutcome {
     match answer.status {
         421 => SendOutcome::OtherProcessor,
         status if status >= 400 && answer.header("x-not-run").is_some() => SendOutcome::Refused,
@@ -117,8 +123,9 @@
             SendOutcome::Lost
         }
         504 => SendOutcome::TimedOut,
-        // It is not said that it did not run, which is what the client would read.
-        status if promises_not_run(status) => {
+        // The client would conclude that the request did not run, which the processor has not
+        // reported.
+        status if implies_not_run(status) => {
             telemetry::count("promises_of_nobody");
             SendOutcome::Lost
         }
