--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,8 @@
-//! What every tier that passes clients' requests on to processors needs: the request with its
-//! route and time, the bounds on its tries, one send with its outcome, and the answers that a
-//! client is given.
+//! Request forwarding that is shared by all tiers which forward client requests to processors: the
+//! request with its route and deadline, the bounds on retries, a single send with its outcome, and
+//! the replies to clients.
 //!
-//! Which processor gets a request is not decided here.
+//! The selection of processors is not part of this crate.
 
 #![warn(missing_docs)]
 
