--- a/crates/gateway/src/cold.rs
+++ b/crates/gateway/src/cold.rs
@@ -1,4 +1,4 @@
-//! Leases on cold processors of services that bound what such ones are sent (`coldPerS`).
+//! Leases on cold processors, for services that limit the request rate to them (`coldPerS`).
 
 use crate::service::GatewayService;
 use rpc::messages::{Node, ZoneUse};
@@ -6,12 +6,12 @@
 use std::time::Duration;
 
 impl GatewayService {
-    /// Keeps the leases while there is any such processor; asks nothing else.
+    /// Renews the leases periodically while there is a cold processor with a rate limit.
     pub(crate) async fn keep_cold_leases(self: Arc<Self>) {
         let period = Duration::from_millis(self.settings.lease_ms() / 3);
         loop {
             tokio::time::sleep(period).await;
-            if !self.has_metered_cold() {
+            if !self.has_limited_cold_processor() {
                 continue;
             }
             let leader = self.known.borrow().leader.clone();
@@ -35,14 +35,14 @@
         }
     }
 
-    fn has_metered_cold(&self) -> bool {
+    fn has_limited_cold_processor(&self) -> bool {
         let known = self.known.borrow();
-        let is_metered = |service: &str| known.configuration.service(service).is_some_and(|s| s.cold_per_s > 0.0);
+        let is_limited = |service: &str| known.configuration.service(service).is_some_and(|s| s.cold_per_s > 0.0);
         if !known.configuration.services.iter().any(|service| service.cold_per_s > 0.0) {
             return false;
         }
         let returning = |zone: &str| known.assignments.zone_use(zone, known.membership.version) == ZoneUse::Returning;
         let mut processors = known.membership.processors.iter();
-        processors.any(|p| !p.draining && (p.cold || returning(&p.zone)) && is_metered(&p.service))
+        processors.any(|p| !p.draining && (p.cold || returning(&p.zone)) && is_limited(&p.service))
     }
 }
