--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,8 +1,8 @@
-//! Front machines of an API gateway: clients' requests are passed on to processors that the
-//! platform runs, and their answers back unchanged.
+//! API gateway: forwards client requests to processors that the platform runs, and their answers
+//! back unchanged.
 //!
-//! The shell around `proxy` (what every forwarding tier needs) and `balance` (which processor
-//! is chosen). It keeps nothing on disk, and needs no other gateway for any request.
+//! Combines `proxy` (request forwarding) and `balance` (load balancing). A gateway keeps nothing
+//! on disk and depends on no other gateway for any request.
 
 #![warn(missing_docs)]
 
