--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding: which sends a request gets, and what its client is told.
+//! Request forwarding: sends, retries and hedging of a request, and the reply to its client.
 
 use crate::service::GatewayService;
 use balance::SendResult;
@@ -7,86 +7,93 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// By how much a request may take longer than runs usually do before another is sent beside it.
+/// A request is hedged after this multiple of the mean latency at the earliest.
 const HEDGE_FACTOR: f64 = 3.0;
-/// The part of its aim before which no request is sent beside another.
-const HEDGE_PART: f64 = 0.6;
-/// The parts of `quietMs`: how long a connection may have rested that carries what must not run
-/// twice, how long a new one may take, and how long to ask whether anybody listens.
-const NEWEST_PART: f64 = 20.0;
-const CONNECT_PART: f64 = 20.0;
-const REFUSAL_PART: f64 = 200.0;
-/// Sends of one request at the most, those included that came to nothing.
-const MOST_SENDS: usize = 6;
-/// When to try again where the gateway knows of no configuration yet, in milliseconds.
+/// A request is hedged after this fraction of the route's target latency at the earliest.
+const HEDGE_TARGET_FRACTION: f64 = 0.6;
+/// `quietMs` divided by this is the maximum idle time of a connection for requests that must not
+/// run twice.
+const MAX_IDLE_DIVISOR: f64 = 20.0;
+/// `quietMs` divided by this is the timeout of a new connection.
+const CONNECT_TIMEOUT_DIVISOR: f64 = 20.0;
+/// `quietMs` divided by this is the timeout of the check whether an address refuses connections.
+const PROBE_TIMEOUT_DIVISOR: f64 = 200.0;
+/// The maximum number of sends of one request, including those that did not leave.
+const MAX_SENDS: usize = 6;
+/// The retry delay for clients while the gateway has no configuration, in milliseconds.
 const UNCONFIGURED_RETRY_MS: u64 = 500;
 
-/// A send that is under way; dropped before its end, nobody waits for it any more.
-struct Sending<'a> {
+/// A send in flight. Its result is recorded on drop; the initial one applies if the send is
+/// cancelled.
+struct InFlight<'a> {
     gateway: &'a GatewayService,
     service: &'a str,
     target: Target,
-    end: SendResult,
+    result: SendResult,
 }
 
-impl Drop for Sending<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         let now_ms = self.gateway.now_ms();
-        self.gateway.with_state(|state| state.end(self.service, &self.target.processor, self.end, now_ms));
+        self.gateway.with_state(|state| state.end(self.service, &self.target.processor, self.result, now_ms));
     }
 }
 
-/// What one send came to.
-enum Sent {
-    /// The client's answer.
+/// The result of a single send, with regard to retries.
+enum AttemptResult {
+    /// The processor's answer.
     Answered(Answer),
-    /// No answer that a client can be given.
-    Missed(Failure),
-    /// Nothing had left: another send repeats nothing.
-    Nothing,
-    /// That would be more processors than the route has tries.
+    /// There is no answer that can be forwarded to the client.
+    Failed(Failure),
+    /// The request was not sent, so another send is not a retry.
+    NotSent,
+    /// The send would exceed the route's `tries`.
     TooManyProcessors,
 }
 
 impl GatewayService {
-    /// Answers one request of a client.
+    /// Answers one client request.
     pub async fn answer(self: Arc<Self>, request: Request) -> Reply {
-        let begun = Instant::now();
+        let received_at = Instant::now();
         let configuration = self.known.borrow().configuration.clone();
         if configuration.revision == 0 {
             return unavailable(UNCONFIGURED_RETRY_MS);
         }
-        let ask = match ClientRequest::read(&request, &configuration, &self.settings, begun) {
-            Ok(ask) => ask,
+        let client_request = match ClientRequest::read(&request, &configuration, &self.settings, received_at) {
+            Ok(client_request) => client_request,
             Err(refusal) => return refusal,
         };
-        self.with_state(|state| state.retry_budget.record_request(begun));
+        self.with_state(|state| state.retry_budget.record_request(received_at));
         let mut closing = self.closing.subscribe();
         let outcome = tokio::select! {
             biased;
-            // The process is about to end: what is known by now is the answer.
+            // The process is about to end, so the reply is given from what is known by now.
             _ = closing.wait_for(|phase| *phase == Closing::Ending) => Err(Failure::not_run()),
-            // Nobody waits for it: the processor drops it.
-            _ = request.departure.left(), if ask.is_safe => {
+            // The client has left. The send is dropped, and the processor drops the request as well.
+            _ = request.departure.left(), if client_request.is_safe => {
                 telemetry::count("requests_abandoned");
                 Err(Failure::not_run())
             }
-            outcome = self.serve(&ask) => outcome,
+            outcome = self.serve(&client_request) => outcome,
         };
-        ask.reply(outcome)
+        client_request.reply(outcome)
     }
 
-    /// Sends a request, and beside the first send another one where that takes long and it may
-    /// run more than once.
-    async fn serve(&self, ask: &ClientRequest<'_>) -> Result<Answer, Failure> {
-        let usual = self.with_state(|state| state.balancer.mean_latency_ms(&ask.service));
-        let Some(usual) = usual.filter(|_| ask.is_safe) else { return self.tries(ask).await };
-        let patience_ms = (ask.route.target_latency_ms.max(1.0) * HEDGE_PART).max(usual * HEDGE_FACTOR);
+    /// Sends a request with retries. A request that may run more than once is hedged if it takes
+    /// long.
+    async fn serve(&self, client_request: &ClientRequest<'_>) -> Result<Answer, Failure> {
+        let mean_latency_ms = self.with_state(|state| state.balancer.mean_latency_ms(&client_request.service));
+        let Some(mean_latency_ms) = mean_latency_ms.filter(|_| client_request.is_safe) else {
+            return self.send_with_retries(client_request).await;
+        };
+        let hedge_delay_ms = (client_request.route.target_latency_ms.max(1.0) * HEDGE_TARGET_FRACTION)
+            .max(mean_latency_ms * HEDGE_FACTOR);
         let second = || {
-            let is_worth_it = ask.attempts().has_room() && self.take_retry();
-            is_worth_it.then(|| self.tries(ask))
+            let may_hedge = client_request.attempts().has_room() && self.take_retry();
+            may_hedge.then(|| self.send_with_retries(client_request))
         };
-        hedged(self.tries(ask), Duration::from_micros((patience_ms * 1000.0) as u64), second).await
+        hedged(self.send_with_retries(client_request), Duration::from_micros((hedge_delay_ms * 1000.0) as u64), second)
+            .await
     }
 
     fn take_retry(&self) -> bool {
@@ -94,32 +101,31 @@
         self.with_state(|state| state.take_retry(slack))
     }
 
-    /// Sends a request until there is an answer, or another send must not be.
-    async fn tries(&self, ask: &ClientRequest<'_>) -> Result<Answer, Failure> {
-        // A processor's failure of a request that may be repeated: the client's answer if no
-        // better one comes.
+    /// Sends a request, and retries it until there is an answer or no retry is allowed.
+    async fn send_with_retries(&self, client_request: &ClientRequest<'_>) -> Result<Answer, Failure> {
+        // A failure answer of a processor, which is forwarded if no retry gets a better one.
         let mut fallback = None;
         let mut failure = Failure::not_run();
-        for _ in 0..MOST_SENDS {
-            if ask.client_has_left() || ask.remaining() < ask.min_run_time() {
+        for _ in 0..MAX_SENDS {
+            if client_request.client_has_left() || client_request.remaining() < client_request.min_run_time() {
                 break;
             }
-            let Some(sending) = self.begin(ask) else { break };
-            match self.send_on(ask, sending).await {
-                Sent::Answered(answer) if answer.status < 500 || !ask.is_safe => return Ok(answer),
-                Sent::Answered(answer) => fallback = Some(answer),
-                Sent::Missed(said) => failure = said,
-                Sent::Nothing => {
+            let Some(in_flight) = self.begin(client_request) else { break };
+            match self.send_on(client_request, in_flight).await {
+                AttemptResult::Answered(answer) if answer.status < 500 || !client_request.is_safe => return Ok(answer),
+                AttemptResult::Answered(answer) => fallback = Some(answer),
+                AttemptResult::Failed(reason) => failure = reason,
+                AttemptResult::NotSent => {
                     telemetry::count("sends_not_sent");
                     continue;
                 }
-                Sent::TooManyProcessors => {
+                AttemptResult::TooManyProcessors => {
                     failure = Failure::MayHaveRun;
                     break;
                 }
             }
-            let may_repeat = ask.is_safe || matches!(failure, Failure::NotRun { .. });
-            if !may_repeat || !ask.attempts().has_room() || !self.take_retry() {
+            let may_retry = client_request.is_safe || matches!(failure, Failure::NotRun { .. });
+            if !may_retry || !client_request.attempts().has_room() || !self.take_retry() {
                 break;
             }
             telemetry::count("sent_again");
@@ -127,41 +133,43 @@
         fallback.ok_or(failure)
     }
 
-    /// Chooses a processor and counts the request as sent there.
-    fn begin<'a>(&'a self, ask: &'a ClientRequest<'_>) -> Option<Sending<'a>> {
+    /// Selects a processor and records the request as in flight there.
+    fn begin<'a>(&'a self, client_request: &'a ClientRequest<'_>) -> Option<InFlight<'a>> {
         let now_ms = self.now_ms();
-        let target = self.with_state(|state| state.begin(&self.known.borrow(), ask, now_ms))?;
-        Some(Sending { gateway: self, service: &ask.service, target, end: SendResult::Abandoned })
+        let target = self.with_state(|state| state.begin(&self.known.borrow(), client_request, now_ms))?;
+        Some(InFlight { gateway: self, service: &client_request.service, target, result: SendResult::Abandoned })
     }
 
-    /// Sends a request to the processor that was chosen.
-    async fn send_on(&self, ask: &ClientRequest<'_>, mut sending: Sending<'_>) -> Sent {
-        let processor = sending.target.processor.clone();
-        if !ask.attempts().begin(&processor) {
-            return Sent::TooManyProcessors;
+    /// Sends a request to the selected processor.
+    async fn send_on(&self, client_request: &ClientRequest<'_>, mut in_flight: InFlight<'_>) -> AttemptResult {
+        let processor = in_flight.target.processor.clone();
+        if !client_request.attempts().begin(&processor) {
+            return AttemptResult::TooManyProcessors;
         }
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let rules = ConnectionRules {
-            max_idle: self.ratio(NEWEST_PART),
-            connect_timeout: Some(self.ratio(CONNECT_PART)),
-            probe_timeout: self.ratio(REFUSAL_PART),
+            max_idle: self.quiet_fraction(MAX_IDLE_DIVISOR),
+            connect_timeout: Some(self.quiet_fraction(CONNECT_TIMEOUT_DIVISOR)),
+            probe_timeout: self.quiet_fraction(PROBE_TIMEOUT_DIVISOR),
         };
-        let outcome = send(&self.pool, ask, &sending.target, ask.remaining(), rules).await;
+        let outcome = send(&self.pool, client_request, &in_flight.target, client_request.remaining(), rules).await;
         if outcome.has_not_run() {
-            ask.attempts().did_not_run(&processor);
+            client_request.attempts().did_not_run(&processor);
         }
-        let latency_ms = sent.elapsed().as_millis().max(1) as u64;
-        let (end, result) = match outcome {
-            SendOutcome::Answered(answer) if answer.status >= 500 => (SendResult::Failed, Sent::Answered(answer)),
-            SendOutcome::Answered(answer) => (SendResult::Success { latency_ms }, Sent::Answered(answer)),
-            SendOutcome::OtherProcessor => (SendResult::Gone, Sent::Missed(Failure::not_run())),
-            SendOutcome::Refused => (SendResult::Full, Sent::Missed(Failure::not_run())),
-            SendOutcome::NotSent { is_gone: true } => (SendResult::Gone, Sent::Nothing),
-            SendOutcome::NotSent { is_gone: false } => (SendResult::Unreachable, Sent::Nothing),
-            SendOutcome::Lost => (SendResult::Failed, Sent::Missed(Failure::MayHaveRun)),
-            SendOutcome::TimedOut => (SendResult::Failed, Sent::Missed(Failure::TimedOut)),
+        let latency_ms = sent_at.elapsed().as_millis().max(1) as u64;
+        let (result, attempt_result) = match outcome {
+            SendOutcome::Answered(answer) if answer.status >= 500 => {
+                (SendResult::Failed, AttemptResult::Answered(answer))
+            }
+            SendOutcome::Answered(answer) => (SendResult::Success { latency_ms }, AttemptResult::Answered(answer)),
+            SendOutcome::OtherProcessor => (SendResult::Gone, AttemptResult::Failed(Failure::not_run())),
+            SendOutcome::Refused => (SendResult::Full, AttemptResult::Failed(Failure::not_run())),
+            SendOutcome::NotSent { is_gone: true } => (SendResult::Gone, AttemptResult::NotSent),
+            SendOutcome::NotSent { is_gone: false } => (SendResult::Unreachable, AttemptResult::NotSent),
+            SendOutcome::Lost => (SendResult::Failed, AttemptResult::Failed(Failure::MayHaveRun)),
+            SendOutcome::TimedOut => (SendResult::Failed, AttemptResult::Failed(Failure::TimedOut)),
         };
-        sending.end = end;
-        result
+        in_flight.result = result;
+        attempt_result
     }
 }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -1,4 +1,4 @@
-//! A gateway's state and the tasks that keep it.
+//! The gateway service: its shared data, background tasks and listeners.
 
 use crate::state::GatewayState;
 use agent::{ClusterView, Follower};
@@ -10,13 +10,13 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// A gateway: what it knows, and what it has under way.
+/// A gateway with its view of the cluster and its requests in flight.
 pub struct GatewayService {
     pub(crate) settings: Settings,
     pub(crate) rpc_clients: Arc<RpcClients>,
     pub(crate) pool: Arc<ConnectionPool>,
     pub(crate) known: watch::Sender<ClusterView>,
-    /// How far this process is on its way out.
+    /// The shutdown phase of this process.
     pub closing: watch::Sender<Closing>,
     pub(crate) incarnation: u64,
     state: Mutex<GatewayState>,
@@ -24,7 +24,7 @@
 }
 
 impl GatewayService {
-    /// A gateway that knows of nothing yet.
+    /// A gateway without configuration or members.
     pub fn new(settings: Settings) -> Arc<GatewayService> {
         let silence = Duration::from_millis((settings.constraints.quiet_ms / 4.0) as u64);
         let idle = Duration::from_millis(settings.constraints.quiet_ms as u64);
@@ -48,20 +48,20 @@
         self.start.elapsed().as_millis() as u64
     }
 
-    /// The part of `quietMs`.
-    pub(crate) fn ratio(&self, part: f64) -> Duration {
-        Duration::from_micros((self.settings.constraints.quiet_ms * 1000.0 / part) as u64)
+    /// `quietMs` divided by `divisor`.
+    pub(crate) fn quiet_fraction(&self, divisor: f64) -> Duration {
+        Duration::from_micros((self.settings.constraints.quiet_ms * 1000.0 / divisor) as u64)
     }
 
-    /// Takes what is new of the system.
-    pub fn learn(&self, news: &ViewUpdate, asked_at: Instant) {
-        if self.known.send_if_modified(|known| known.take_answer(news, asked_at)) {
+    /// Applies an update of the cluster view.
+    pub fn apply_update(&self, update: &ViewUpdate, asked_at: Instant) {
+        if self.known.send_if_modified(|known| known.take_answer(update, asked_at)) {
             let view = self.known.borrow().clone();
-            self.with_state(|state| state.learn(&view, &self.settings));
+            self.with_state(|state| state.apply_view(&view, &self.settings));
         }
     }
 
-    /// Whether clients may be sent here.
+    /// Whether this gateway is ready for client requests.
     pub fn is_ready(&self) -> bool {
         let known = self.known.borrow();
         *self.closing.borrow() == Closing::Open && known.configuration.revision > 0 && known.membership.listed
@@ -72,18 +72,18 @@
         Bounds::told(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
     }
 
-    async fn follow(self: Arc<Self>) {
+    async fn follow_cluster(self: Arc<Self>) {
         let follower = Follower::new(&self.settings, self.rpc_clients.clone(), self.incarnation);
         let have = || self.known.borrow().have();
         let is_leaving = |phase: &Closing| *phase != Closing::Open;
-        let learn = |news: &ViewUpdate, asked_at| self.learn(news, asked_at);
-        follower.run(self.closing.subscribe(), is_leaving, have, || self.pool.unidentified(), learn).await;
+        let apply_update = |update: &ViewUpdate, asked_at| self.apply_update(update, asked_at);
+        follower.run(self.closing.subscribe(), is_leaving, have, || self.pool.unidentified(), apply_update).await;
     }
 
-    /// Closes connections that rest too long, and reports counters from time to time.
-    async fn keep_time(self: Arc<Self>) {
+    /// Closes connections that were idle for too long, and reports counters periodically.
+    async fn sweep_and_report(self: Arc<Self>) {
         const REPORT_EVERY: u64 = 30;
-        let period = self.ratio(4.0);
+        let period = self.quiet_fraction(4.0);
         let mut rounds = 0u64;
         loop {
             tokio::time::sleep(period).await;
@@ -111,33 +111,33 @@
     tokio::net::TcpListener::bind(address).await.map_err(|e| format!("{address}: {e}"))
 }
 
-/// Runs a gateway until it is told to stop.
+/// Runs a gateway until `stop` becomes true, then drains it.
 pub async fn run(settings: Settings, mut stop: watch::Receiver<bool>) -> Result<(), String> {
     let silence = Duration::from_millis((settings.constraints.quiet_ms / 4.0) as u64);
     let gateway = GatewayService::new(settings.clone());
     let inner = bind(&settings.inner_addr(Role::Front)).await?;
     let ready = bind(&settings.listen.ready).await?;
     let clients = bind(&settings.listen.front).await?;
-    let handling = gateway.clone();
-    tokio::spawn(rpc::serve(inner, silence, move |body, responder| handling.handle(body, responder)));
-    tokio::spawn(gateway.clone().follow());
+    let rpc_handler = gateway.clone();
+    tokio::spawn(rpc::serve(inner, silence, move |body, responder| rpc_handler.handle(body, responder)));
+    tokio::spawn(gateway.clone().follow_cluster());
     tokio::spawn(gateway.clone().keep_cold_leases());
-    tokio::spawn(gateway.clone().keep_time());
-    let asked = gateway.clone();
-    // Kept until the end: it is asked while the gateway drains as well.
-    let (_stays_open, open) = watch::channel(Closing::Open);
+    tokio::spawn(gateway.clone().sweep_and_report());
+    let readiness_source = gateway.clone();
+    // Readiness checks are answered until the process ends, also while the gateway drains.
+    let (_keep_open, open) = watch::channel(Closing::Open);
     tokio::spawn(http1::listen(ready, Bounds::default, open, ClientWatch::Off, move |_| {
-        let status = if asked.is_ready() { 200 } else { 503 };
+        let status = if readiness_source.is_ready() { 200 } else { 503 };
         async move { Reply::new(status) }
     }));
-    let (bounding, answering) = (gateway.clone(), gateway.clone());
+    let (bounds_source, request_handler) = (gateway.clone(), gateway.clone());
     let closing = gateway.closing.subscribe();
     tokio::spawn(http1::listen(
         clients,
-        move || bounding.bounds(),
+        move || bounds_source.bounds(),
         closing,
         ClientWatch::On,
-        move |request| answering.clone().answer(request),
+        move |request| request_handler.clone().answer(request),
     ));
     let _ = stop.wait_for(|stop| *stop).await;
     telemetry::change!("draining");
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -166,7 +166,7 @@
             assignments: Some(self.assignments.clone()),
             ..ViewUpdate::default()
         };
-        self.gateway.learn(&news, Instant::now());
+        self.gateway.apply_update(&news, Instant::now());
     }
 
     async fn call(&self, path: &str, id: &str, deadline_ms: u64) -> Reply {
