--- a/crates/balance/tests/quota.rs
+++ b/crates/balance/tests/quota.rs
@@ -1,11 +1,12 @@
-//! Quotas over several holders: whatever happens to messages, holders and ledgers, what is
-//! accepted in any window stays inside the bound, and nothing is refused below the limit.
+//! Quotas over several holders: the messages accepted in any window stay within the bound, even if
+//! requests are lost or duplicated and holders or ledgers are replaced, and no message is refused
+//! below the limit.
 
 use balance::{LocalQuota, QuotaAnswer, QuotaLedger, QuotaLimit, QuotaParameters, QuotaReport, QuotaTake};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, HashSet};
 
-const TERMS: QuotaParameters = QuotaParameters { window_ms: 2000, lease_ms: 600, overshoot: 0.0, slack: 0.0 };
+const PARAMETERS: QuotaParameters = QuotaParameters { window_ms: 2000, lease_ms: 600, overshoot: 0.0, slack: 0.0 };
 const LIMIT: QuotaLimit = QuotaLimit { flow_per_s: 20.0, surge: 10.0 };
 const TENANT: &str = "t";
 const HOLDERS: usize = 3;
@@ -20,20 +21,20 @@
     asked_ms: u64,
 }
 
-/// One owner of partitions, numbered as its first partition.
+/// An owner of partitions, which has the number of its first partition.
 struct Holder {
-    stock: LocalQuota,
+    quota: LocalQuota,
     incarnation: u64,
     sequence: u64,
     introduces: bool,
-    /// Its partitions, with its term of each.
+    /// Its partitions, with its term for each.
     owned: BTreeMap<usize, u64>,
 }
 
 impl Holder {
     fn new(incarnation: u64) -> Holder {
         let owned = BTreeMap::new();
-        Holder { stock: LocalQuota::new(TERMS), incarnation, sequence: 0, introduces: true, owned }
+        Holder { quota: LocalQuota::new(PARAMETERS), incarnation, sequence: 0, introduces: true, owned }
     }
 }
 
@@ -44,57 +45,64 @@
         holder: usize,
         count: usize,
     },
-    /// A holder gives up its former request and sends one; `arrives`, `answered`: whether the
-    /// network carries it and its answer.
-    Ask {
+    /// A holder sends a request and abandons its previous one. The request and its reply may be
+    /// lost.
+    Request {
         holder: usize,
-        arrives: bool,
-        answered: bool,
+        request_arrives: bool,
+        reply_arrives: bool,
     },
-    /// An old request arrives again.
-    Stale(usize),
-    /// A holder ends; another one takes its partitions, and it begins anew.
+    /// An earlier request is delivered again.
+    Duplicate(usize),
+    /// A holder crashes and restarts; another one takes over its partitions.
     Crash(usize),
-    Leader,
+    NewLedger,
 }
 
-struct World {
+struct Cluster {
     now: u64,
     holders: Vec<Holder>,
     ledger: QuotaLedger,
-    /// By partition, its owner's term.
+    /// By partition, the term of its owner.
     terms: Vec<u64>,
-    old: Vec<(usize, Request)>,
-    /// By partition: when each message was accepted.
-    logs: Vec<Vec<u64>>,
+    sent_requests: Vec<(usize, Request)>,
+    /// By partition, the times at which messages were accepted.
+    accepted: Vec<Vec<u64>>,
 }
 
-impl World {
-    fn new() -> World {
+impl Cluster {
+    fn new() -> Cluster {
         let mut holders: Vec<Holder> = (0..HOLDERS).map(|_| Holder::new(1)).collect();
         for (partition, holder) in holders.iter_mut().enumerate() {
             holder.owned.insert(partition, 1);
-            holder.stock.begin_partition(partition as u32, 1);
+            holder.quota.begin_partition(partition as u32, 1);
+        }
+        let ledger = QuotaLedger::new(PARAMETERS, 10_000);
+        Cluster {
+            now: 10_000,
+            holders,
+            ledger,
+            terms: vec![1; HOLDERS],
+            sent_requests: vec![],
+            accepted: vec![vec![]; HOLDERS],
         }
-        let ledger = QuotaLedger::new(TERMS, 10_000);
-        World { now: 10_000, holders, ledger, terms: vec![1; HOLDERS], old: vec![], logs: vec![vec![]; HOLDERS] }
     }
 
     fn messages(&mut self, holder: usize, count: usize) {
         let Some(partition) = self.holders[holder].owned.keys().next().copied() else { return };
         for _ in 0..count {
-            if self.holders[holder].stock.take(TENANT, partition as u32, true, self.now) == QuotaTake::Taken {
-                self.logs[partition].push(self.now);
+            if self.holders[holder].quota.take(TENANT, partition as u32, true, self.now) == QuotaTake::Taken {
+                self.accepted[partition].push(self.now);
             }
         }
     }
 
-    fn ask(&mut self, number: usize, arrives: bool, answered: bool) {
+    fn request_tokens(&mut self, number: usize, request_arrives: bool, reply_arrives: bool) {
         let now = self.now;
         let holder = &mut self.holders[number];
         holder.sequence += 1;
         let introduces = holder.introduces;
-        let reports = holder.stock.reports(introduces, now);
+        let reports = holder.quota.reports(introduces, now);
         let request = Request {
             incarnation: holder.incarnation,
             sequence: holder.sequence,
@@ -103,26 +111,27 @@
             counted: holder.owned.clone(),
             asked_ms: now,
         };
-        self.old.push((number, request.clone()));
-        if !arrives {
+        self.sent_requests.push((number, request.clone()));
+        if !request_arrives {
             return;
         }
-        if let Some(answers) = self.hear(number, &request)
-            && answered
+        if let Some(answers) = self.deliver(number, &request)
+            && reply_arrives
         {
             let holder = &mut self.holders[number];
             match answers {
                 Some(answers) => {
                     holder.introduces = false;
-                    holder.stock.apply_answers(&request.reports, &answers, request.asked_ms, now);
+                    holder.quota.apply_answers(&request.reports, &answers, request.asked_ms, now);
                 }
                 None => holder.introduces = true,
             }
         }
     }
 
-    /// The ledger hears a request: its answers, or none if it wants an introduction.
-    fn hear(&mut self, number: usize, request: &Request) -> Option<Option<Vec<QuotaAnswer>>> {
+    /// Delivers a request to the ledger. Returns its answers; the inner `None` means that the ledger
+    /// requires an introduction.
+    fn deliver(&mut self, number: usize, request: &Request) -> Option<Option<Vec<QuotaAnswer>>> {
         let (name, now) = (number.to_string(), self.now);
         if !self.ledger.receive(&name, request.incarnation, request.sequence, request.introduces, now) {
             return Some(None);
@@ -144,49 +153,51 @@
     fn crash(&mut self, number: usize) {
         let owned = std::mem::take(&mut self.holders[number].owned);
         self.holders[number] = Holder::new(self.holders[number].incarnation + 1);
-        let heir = (number + 1) % HOLDERS;
+        let successor = (number + 1) % HOLDERS;
         for partition in owned.into_keys() {
             self.terms[partition] += 1;
             let (term, now) = (self.terms[partition], self.now);
-            self.holders[heir].stock.begin_partition(partition as u32, term);
-            for at in self.logs[partition].iter().filter(|at| **at + TERMS.window_ms > now) {
-                self.holders[heir].stock.count_accepted(TENANT, partition as u32, now - at, now);
+            self.holders[successor].quota.begin_partition(partition as u32, term);
+            for at in self.accepted[partition].iter().filter(|at| **at + PARAMETERS.window_ms > now) {
+                self.holders[successor].quota.count_accepted(TENANT, partition as u32, now - at, now);
             }
-            self.holders[heir].owned.insert(partition, term);
+            self.holders[successor].owned.insert(partition, term);
         }
     }
 
-    fn leader(&mut self) {
-        self.ledger = QuotaLedger::new(TERMS, self.now);
-        self.old.clear();
+    fn replace_ledger(&mut self) {
+        self.ledger = QuotaLedger::new(PARAMETERS, self.now);
+        self.sent_requests.clear();
         for holder in &mut self.holders {
             holder.introduces = true;
         }
     }
 
-    fn play(&mut self, event: &Event) {
+    fn apply(&mut self, event: &Event) {
         match *event {
             Event::Wait(ms) => self.now += ms,
             Event::Messages { holder, count } => self.messages(holder, count),
-            Event::Ask { holder, arrives, answered } => self.ask(holder, arrives, answered),
-            Event::Stale(at) => {
-                if let Some((number, request)) = self.old.get(at % self.old.len().max(1)).cloned()
+            Event::Request { holder, request_arrives, reply_arrives } => {
+                self.request_tokens(holder, request_arrives, reply_arrives)
+            }
+            Event::Duplicate(at) => {
+                if let Some((number, request)) = self.sent_requests.get(at % self.sent_requests.len().max(1)).cloned()
                     && (request.incarnation, request.sequence)
                         < (self.holders[number].incarnation, self.holders[number].sequence)
                 {
-                    self.hear(number, &request);
+                    self.deliver(number, &request);
                 }
             }
             Event::Crash(holder) => self.crash(holder),
-            Event::Leader => self.leader(),
+            Event::NewLedger => self.replace_ledger(),
         }
     }
 
-    /// The most that was accepted in any window.
-    fn most(&self) -> usize {
-        let mut all: Vec<u64> = self.logs.iter().flatten().copied().collect();
+    /// The largest number of messages accepted in any window.
+    fn max_in_window(&self) -> usize {
+        let mut all: Vec<u64> = self.accepted.iter().flatten().copied().collect();
         all.sort_unstable();
-        let within = |from: u64| all.iter().filter(|at| (from..from + TERMS.window_ms).contains(at)).count();
+        let within = |from: u64| all.iter().filter(|at| (from..from + PARAMETERS.window_ms).contains(at)).count();
         all.iter().map(|from| within(*from)).max().unwrap_or(0)
     }
 }
@@ -197,10 +208,12 @@
         4 => (1u64..500).prop_map(Event::Wait),
         6 => (holder.clone(), 1usize..60).prop_map(|(holder, count)| Event::Messages { holder, count }),
         8 => (holder.clone(), prop::bool::weighted(0.85), prop::bool::weighted(0.85))
-            .prop_map(|(holder, arrives, answered)| Event::Ask { holder, arrives, answered }),
-        1 => (0usize..1000).prop_map(Event::Stale),
+            .prop_map(|(holder, request_arrives, reply_arrives)| {
+                Event::Request { holder, request_arrives, reply_arrives }
+            }),
+        1 => (0usize..1000).prop_map(Event::Duplicate),
         1 => holder.prop_map(Event::Crash),
-        1 => Just(Event::Leader),
+        1 => Just(Event::NewLedger),
     ]
 }
 
@@ -214,43 +227,44 @@
     })]
 
     #[test]
-    fn no_window_sees_more_than_the_bound(events in prop::collection::vec(event(), 1..200)) {
-        let mut world = World::new();
+    fn accepted_messages_stay_within_the_bound_in_every_window(events in prop::collection::vec(event(), 1..200)) {
+        let mut cluster = Cluster::new();
         for event in &events {
-            world.play(event);
+            cluster.apply(event);
         }
-        let (most, bound) = (world.most() as u64, TERMS.bound(LIMIT));
-        prop_assert!(most <= bound, "{most} accepted in a window, {bound} allowed");
+        let (max_in_window, bound) = (cluster.max_in_window() as u64, PARAMETERS.bound(LIMIT));
+        prop_assert!(max_in_window <= bound, "{max_in_window} messages accepted in a window, {bound} allowed");
     }
 }
 
-/// Sends at a steady rate, at the holders as `at` says, for some seconds; how many were refused.
-fn refused_at(per_s: u64, at: impl Fn(u64) -> usize) -> usize {
-    let mut world = World::new();
+/// Sends messages at a steady rate for 8 s, each to the holder that `at` returns. Returns the
+/// number of refused messages.
+fn count_refused(per_s: u64, at: impl Fn(u64) -> usize) -> usize {
+    let mut cluster = Cluster::new();
     for holder in 0..HOLDERS {
-        world.ask(holder, true, true);
+        cluster.request_tokens(holder, true, true);
     }
     let (mut refused, mut waiting) = (0, Vec::new());
     for tick in 0..8000u64 {
-        world.now += 1;
+        cluster.now += 1;
         if tick.is_multiple_of(1000 / per_s) {
             let holder = at(tick);
-            match world.holders[holder].stock.take(TENANT, holder as u32, true, world.now) {
-                QuotaTake::Taken => world.logs[0].push(world.now),
+            match cluster.holders[holder].quota.take(TENANT, holder as u32, true, cluster.now) {
+                QuotaTake::Taken => cluster.accepted[0].push(cluster.now),
                 QuotaTake::Refused { .. } => refused += 1,
-                QuotaTake::Ask => waiting.push((holder, world.now)),
+                QuotaTake::Ask => waiting.push((holder, cluster.now)),
             }
         }
         if tick.is_multiple_of(20) {
-            let asks: HashSet<usize> = waiting.iter().map(|(holder, _)| *holder).collect();
-            for holder in (0..HOLDERS).filter(|holder| asks.contains(holder) || tick.is_multiple_of(100)) {
-                world.ask(holder, true, true);
+            let requesting: HashSet<usize> = waiting.iter().map(|(holder, _)| *holder).collect();
+            for holder in (0..HOLDERS).filter(|holder| requesting.contains(holder) || tick.is_multiple_of(100)) {
+                cluster.request_tokens(holder, true, true);
             }
             for (holder, _) in std::mem::take(&mut waiting) {
-                let stock = &mut world.holders[holder].stock;
-                stock.remove_waiting(TENANT);
-                match stock.take(TENANT, holder as u32, false, world.now) {
-                    QuotaTake::Taken => world.logs[0].push(world.now),
+                let quota = &mut cluster.holders[holder].quota;
+                quota.remove_waiting(TENANT);
+                match quota.take(TENANT, holder as u32, false, cluster.now) {
+                    QuotaTake::Taken => cluster.accepted[0].push(cluster.now),
                     _ => refused += 1,
                 }
             }
@@ -260,17 +274,21 @@
 }
 
 #[test]
-fn nothing_is_refused_below_the_limit_wherever_it_comes() {
-    assert_eq!(refused_at(20, |tick| (tick / 50) as usize % HOLDERS), 0, "at all holders in turn");
-    assert_eq!(refused_at(20, |_| 1), 0, "at one holder");
-    assert_eq!(refused_at(20, |tick| (tick / 1500) as usize % HOLDERS), 0, "now here, now there");
+fn no_message_is_refused_below_the_limit_at_any_holder() {
+    assert_eq!(count_refused(20, |tick| (tick / 50) as usize % HOLDERS), 0, "round-robin over all holders");
+    assert_eq!(count_refused(20, |_| 1), 0, "at a single holder");
+    assert_eq!(
+        count_refused(20, |tick| (tick / 1500) as usize % HOLDERS),
+        0,
+        "alternating between holders every 1.5 s"
+    );
 }
 
 #[test]
-fn a_new_ledger_grants_nothing_before_it_knows_what_was_spent() {
-    let mut ledger = QuotaLedger::new(TERMS, 0);
+fn a_new_ledger_grants_nothing_before_it_is_settled() {
+    let mut ledger = QuotaLedger::new(PARAMETERS, 0);
     let report = QuotaReport { tenant: TENANT.into(), wanted: 5, ..QuotaReport::default() };
-    assert!(!ledger.receive("a", 1, 1, false, 10), "it is to introduce itself");
+    assert!(!ledger.receive("a", 1, 1, false, 10), "the holder must introduce itself");
     assert!(ledger.receive("a", 1, 2, true, 10));
     ledger.report("a", 1, &report, 10);
     assert_eq!(ledger.grant("a", 1, &report, LIMIT, 10).granted, 0);
@@ -279,8 +297,8 @@
 }
 
 #[test]
-fn a_lowered_limit_takes_back_what_is_held() {
-    let mut ledger = QuotaLedger::new(TERMS, 0);
+fn a_lowered_limit_revokes_held_tokens() {
+    let mut ledger = QuotaLedger::new(PARAMETERS, 0);
     ledger.settle();
     let mut report = QuotaReport { tenant: TENANT.into(), wanted: 12, ..QuotaReport::default() };
     assert!(ledger.receive("a", 1, 1, true, 10));
@@ -291,19 +309,19 @@
     ledger.report("a", 1, &report, 20);
     let lowered = QuotaLimit { flow_per_s: 1.0, surge: 0.0 };
     let answer = ledger.grant("a", 1, &report, lowered, 20);
-    assert_eq!((answer.granted, u64::from(answer.keep)), (0, TERMS.capacity(lowered)));
+    assert_eq!((answer.granted, u64::from(answer.keep)), (0, PARAMETERS.capacity(lowered)));
     assert!(answer.retry_ms > 0);
 }
 
 #[test]
-fn what_a_silent_holder_holds_counts_for_a_window_after_its_lease() {
-    let mut ledger = QuotaLedger::new(TERMS, 0);
+fn tokens_of_a_silent_holder_count_for_a_window_after_its_lease() {
+    let mut ledger = QuotaLedger::new(PARAMETERS, 0);
     ledger.settle();
     let report = QuotaReport { tenant: TENANT.into(), wanted: 12, ..QuotaReport::default() };
     assert!(ledger.receive("silent", 1, 1, true, 10));
     ledger.report("silent", 1, &report, 10);
     assert_eq!(ledger.grant("silent", 1, &report, LIMIT, 10).granted, 12);
-    // It may spend all of it when its lease ends, after 600 ms.
+    // The silent holder may spend all its tokens just before its lease ends, after 600 ms.
     let mut other = QuotaReport { wanted: 100, ..report };
     for sequence in 1..=26 {
         let now = 10 + sequence * 100;
@@ -311,13 +329,13 @@
         ledger.report("other", 1, &other, now);
         other.held += ledger.grant("other", 1, &other, LIMIT, now).granted;
     }
-    assert_eq!(u64::from(other.held), TERMS.capacity(LIMIT) - 12);
+    assert_eq!(u64::from(other.held), PARAMETERS.capacity(LIMIT) - 12);
 }
 
 #[test]
-fn a_request_that_is_overtaken_by_a_later_one_changes_nothing() {
-    let mut ledger = QuotaLedger::new(TERMS, 0);
+fn an_outdated_or_repeated_request_is_rejected() {
+    let mut ledger = QuotaLedger::new(PARAMETERS, 0);
     assert!(ledger.receive("a", 1, 2, true, 10));
     assert!(!ledger.receive("a", 1, 1, true, 11));
-    assert!(!ledger.receive("a", 1, 2, false, 12), "nor one that comes twice");
+    assert!(!ledger.receive("a", 1, 2, false, 12), "a repeated request is rejected");
 }
