--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -23,13 +23,13 @@
         let received_at = Instant::now();
         let configuration = self.view.borrow().configuration.clone();
         if configuration.revision == 0 {
-            return busy(500);
+            return unavailable(500);
         }
         let client_request = match ClientRequest::read(&request, &configuration, &self.settings, received_at) {
             Ok(client_request) => client_request,
             Err(refusal) => return refusal,
         };
-        self.state.lock().unwrap().retry_budget.sent(received_at);
+        self.state.lock().unwrap().retry_budget.record_request(received_at);
         let mut closing = self.closing.subscribe();
         let outcome = tokio::select! {
             // Shutdown is checked first: slots that other requests release as they end must not be
@@ -70,16 +70,16 @@
     pub(super) fn take_retry(&self) -> bool {
         let fronts = self.fronts.lock().unwrap().len().max(1);
         let slack = self.settings.constraints.retry_slack / fronts as f64;
-        self.state.lock().unwrap().retry_budget.again(slack, Instant::now())
+        self.state.lock().unwrap().retry_budget.take_retry(slack, Instant::now())
     }
 
     /// Forwards a request until there is an answer or a retry is not allowed.
     async fn forward_with_retries(self: &Arc<Self>, request: &ClientRequest<'_>) -> Result<Answer, Failure> {
         loop {
-            if request.is_abandoned() {
+            if request.client_has_left() {
                 return Err(Failure::not_run());
             }
-            let max_wait = max_slot_wait(request.route, request.left());
+            let max_wait = max_slot_wait(request.route, request.remaining());
             let (slot_id, grant) = self.acquire_slot(&request.service, request.route, &request.zones, max_wait).await?;
             let release = SlotRelease {
                 service: request.service.clone(),
@@ -117,7 +117,7 @@
                 }
                 _ => {
                     telemetry::count("sends_unclear");
-                    if delivery_failure == DeliveryFailure::Silent { Failure::Silent } else { Failure::MayHaveRun }
+                    if delivery_failure == DeliveryFailure::Silent { Failure::TimedOut } else { Failure::MayHaveRun }
                 }
             };
             let safety = if request.is_safe { RetrySafety::Safe } else { RetrySafety::Unsafe };
@@ -145,16 +145,19 @@
             telemetry::count("sends_spared_evacuated");
             return ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Done);
         }
-        let within = request.left();
-        if request.is_abandoned() || within < request.shortest_run() {
+        let within = request.remaining();
+        if request.client_has_left() || within < request.min_run_time() {
             return ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Done);
         }
         if !request.attempts().begin(&grant.processor) {
             return ForwardOutcome::TooManyProcessors;
         }
         let target = Target { processor: grant.processor.clone(), address: grant.address.clone() };
-        let rules =
-            ConnectionRules { newest: self.quiet_fraction(20.0), connect: None, refusal: self.quiet_fraction(200.0) };
+        let rules = ConnectionRules {
+            max_idle: self.quiet_fraction(20.0),
+            connect_timeout: None,
+            probe_timeout: self.quiet_fraction(200.0),
+        };
         let outcome = send(&self.pool, request, &target, within, rules).await;
         if outcome.has_not_run() {
             request.attempts().did_not_run(&grant.processor);
@@ -166,8 +169,8 @@
             SendOutcome::NotSent { is_gone: true } => ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Gone),
             SendOutcome::NotSent { is_gone: false } => ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Dark),
             SendOutcome::Lost => ForwardOutcome::Failed(DeliveryFailure::Lost, SlotEnd::Done),
-            SendOutcome::Silent if grant.starting => ForwardOutcome::Failed(DeliveryFailure::Silent, SlotEnd::Dark),
-            SendOutcome::Silent => ForwardOutcome::Failed(DeliveryFailure::Silent, SlotEnd::Done),
+            SendOutcome::TimedOut if grant.starting => ForwardOutcome::Failed(DeliveryFailure::Silent, SlotEnd::Dark),
+            SendOutcome::TimedOut => ForwardOutcome::Failed(DeliveryFailure::Silent, SlotEnd::Done),
         }
     }
 
@@ -187,8 +190,8 @@
     ) -> bool {
         let pause = self.quiet_fraction(200.0);
         loop {
-            let left = request.left();
-            if left.is_zero() || request.is_abandoned() {
+            let left = request.remaining();
+            if left.is_zero() || request.client_has_left() {
                 return false;
             }
             match self.pool.open(&grant.address, left.min(self.quiet_fraction(20.0))).await {
