--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,5 +1,5 @@
-//! The inner protocol: what the processes of the system say to one another,
-//! and the framed connections it travels on.
+//! The internal RPC protocol between the processes of a cluster: its messages and the framed
+//! TCP connections that carry them.
 
 mod connection;
 mod delta;
