--- a/crates/rpc/src/incarnation.rs
+++ b/crates/rpc/src/incarnation.rs
@@ -1,27 +1,29 @@
-//! Incarnations: which of two processes of one name came later.
+//! Incarnation numbers: they order the successive processes of one node name.
 
 use std::hash::{BuildHasher, Hasher};
 
-/// No clock gets this far: an incarnation above it is somebody's mistake.
-const LAST: u64 = 1 << 62;
+/// Upper bound, exclusive. No real clock yields an incarnation this large, so one at or above it is
+/// an error of its sender.
+const INCARNATION_LIMIT: u64 = 1 << 62;
 
-/// An incarnation for a process that begins now. The time of day makes later ones mostly
-/// greater; the low bits keep two that begin in one millisecond apart. Where the
-/// clock was wrong, whoever knows a greater one says so, and `after` is taken.
+/// Returns an incarnation for a process that starts now. The wall-clock time in the upper bits
+/// makes later incarnations usually greater; the random low 20 bits distinguish processes started
+/// in the same millisecond. If the clock was wrong, a peer that knows a greater incarnation reports
+/// it and the process takes `after` of that one.
 pub fn new_incarnation() -> u64 {
-    let chance = std::collections::hash_map::RandomState::new().build_hasher().finish();
-    (telemetry::wall_ms() << 20) | (chance & 0xf_ffff)
+    let random = std::collections::hash_map::RandomState::new().build_hasher().finish();
+    (telemetry::wall_ms() << 20) | (random & 0xf_ffff)
 }
 
-/// The next incarnation after one that is known.
+/// Returns the smallest valid incarnation greater than `known`.
 pub fn after(known: u64) -> u64 {
     known.max(1) + 1
 }
 
-/// Whether an incarnation can be one at all.
+/// Returns whether `incarnation` is in the valid range; counts the ones that are not.
 pub fn possible(incarnation: u64) -> bool {
-    if incarnation >= LAST {
+    if incarnation >= INCARNATION_LIMIT {
         telemetry::count("incarnations_impossible");
     }
-    incarnation < LAST
+    incarnation < INCARNATION_LIMIT
 }
