--- a/crates/rpc/src/outcome.rs
+++ b/crates/rpc/src/outcome.rs
@@ -1,60 +1,61 @@
-//! What is known of a request that came to no clear end, and who may send it again.
+//! Outcomes of requests without a definite answer, and who may retry them.
 
-/// Whether a request that came to no clear end may have run.
+/// Whether a request without a definite answer may have been executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionOutcome {
-    /// It never left, or the other side said that it did nothing.
+    /// It was never sent, or the peer reported that it did not execute it.
     NotRun,
-    /// It left, and nobody said what came of it.
+    /// It was sent and its result is unknown.
     MayHaveRun,
-    /// The other side did it.
+    /// The peer executed it.
     Ran,
 }
 
-/// How a send to a processor missed its answer. A reset, a close, half an answer or
-/// one that names another is `Lost`, on a kept connection and on a new one: only the
-/// processor's own word says that it did not run.
+/// Why a delivery to a processor got no usable answer. A reset, a close, a partial answer or an
+/// answer to another request counts as `Lost`, on a reused connection as on a new one: only an
+/// explicit statement of the processor proves that the request did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeliveryFailure {
-    /// No byte of it was written: no connection, or none left.
+    /// No byte of the request was written: no connection could be made or none was available.
     NotSent,
-    /// Its processor says that it did not run.
+    /// The processor answered that it did not run the request.
     Refused,
-    /// As `Refused`: over a rate, or while an earlier one of that id runs.
+    /// As `Refused`, because of a rate limit or because an earlier request with the same id is
+    /// still running.
     Busy,
-    /// Written, and no whole answer that is its own.
+    /// The request was written, but no complete answer to it was received.
     Lost,
-    /// As `Lost`, and the time that it had is over.
+    /// As `Lost`, and the request's time limit has expired.
     Silent,
 }
 
-/// What a request is, as far as sending it again goes.
+/// Classes of requests by the retries that they allow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
-    /// An accepted message: delivered until it ended.
+    /// An accepted message: delivery is retried until the message is finished.
     Message,
-    /// With an order key: the next of its key waits until it ended.
+    /// A message with an order key: the next message of the key waits until this one is finished.
     Sequenced,
-    /// Its service knows repeats by their id.
+    /// A message of a service that deduplicates requests by id.
     Dedupes,
-    /// A function's request that may run more than once.
+    /// A function request that may run more than once.
     Safe,
-    /// A function's request that runs at most once.
+    /// A function request that must run at most once.
     Unsafe,
 }
 
-/// Who sends it again, and when.
+/// Who retries a request, and when.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryOwner {
-    /// Its owner, at once, to any processor.
+    /// The owner of the message, at once, on any processor.
     Owner,
-    /// Its owner, after a pause that grows.
+    /// The owner of the message, after an increasing back-off.
     OwnerLater,
-    /// The front that has it, within its retry budget of repeats.
+    /// The front that holds the request, within its retry budget.
     Front,
-    /// As `Front`, and within the route's tries.
+    /// As `Front`, and within the route's limit on attempts.
     FrontTries,
-    /// Nobody here: the client is told that it may have run, or that its time is over.
+    /// No retry: the client is told that the request may have run or that its time limit expired.
     Nobody,
 }
 
@@ -66,10 +67,11 @@
         }
     }
 
-    /// The table of docs/design.md, "Notes on answers".
+    /// Implements the table in docs/design.md, "Notes on answers".
     pub fn again(self, class: RetrySafety) -> RetryOwner {
         match (class, self) {
-            // Where it may have run, most processors have dropped it by the end of the pause.
+            // If the request may have run, most processors have dropped it by the end of the
+            // back-off.
             (
                 RetrySafety::Message | RetrySafety::Sequenced | RetrySafety::Dedupes,
                 DeliveryFailure::NotSent | DeliveryFailure::Refused,
