--- a/crates/rpc/src/slewed_clock.rs
+++ b/crates/rpc/src/slewed_clock.rs
@@ -1,42 +1,41 @@
-//! A time of day that no step of any clock can move.
+//! A wall clock that is immune to steps of the system clocks.
 //!
-//! It starts once, goes on by the steady clock of its process, and is corrected by
-//! slewing only: while a correction is under way it runs faster or slower than the steady
-//! clock by no more than a fixed ratio. So it never goes back, and no duration measured by
-//! it is shorter or longer than by the steady clock by more than that ratio. Pure: callers
-//! pass the reading of the steady clock. Keeps invariant 13 of docs/design.md.
-
-/// Parts in a million by which a partition's time may run fast or slow while it is
-/// corrected.
+//! It is set once, advances with the monotonic clock of its process, and is corrected by slewing
+//! only: during a correction it runs faster or slower than the monotonic clock by at most a fixed
+//! ratio. So it never runs backwards, and a duration measured by it differs from the monotonic
+//! clock's by at most that ratio. The module does no I/O: callers pass the reading of the monotonic
+//! clock. It maintains invariant 13 of docs/design.md.
+
+/// Maximum slew rate of a partition's time, in parts per million.
 pub const PARTITION_SLEW_PPM: u64 = 1000;
 
-/// The same for the cluster's time: less, so that partitions keep up with it, and still
-/// ten times the drift of a clock that loses four seconds a day.
+/// Maximum slew rate of the cluster's time. It is lower than the partitions' so that they can
+/// follow it, and still ten times the drift of a clock that loses four seconds a day.
 pub const CLUSTER_SLEW_PPM: u64 = 500;
 
 const NANOS_PER_MILLI: u64 = 1_000_000;
 
-/// No time of day comes after this (some two hundred years from now): what says so is wrong.
+/// Upper bound on valid times, some two hundred years from now; a later one is an error.
 const LATEST_MS: u64 = 1 << 43;
 
-/// Whether a time that another process tells can be one; 0 says that it knows none.
+/// Returns whether a time reported by another process is valid; 0 means that it has none.
 pub fn is_plausible_time(time_ms: u64) -> bool {
     (1..LATEST_MS).contains(&time_ms)
 }
 
-/// Times and readings of the steady clock are in milliseconds.
+/// Times and readings of the monotonic clock (`now`) are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct SlewedClock {
-    /// The time reached when the steady clock read `read_at`.
+    /// The time at monotonic reading `read_at`.
     reached_nanos: u64,
     read_at: u64,
-    /// What was still to be corrected then.
+    /// The outstanding correction at `read_at`.
     correction_nanos: i64,
     slew_ppm: u64,
 }
 
 impl SlewedClock {
-    /// Starts at `time_ms` when the steady clock reads `now`.
+    /// Starts at `time_ms` when the monotonic clock reads `now`.
     pub fn start(time_ms: u64, now: u64, slew_ppm: u64) -> SlewedClock {
         SlewedClock {
             reached_nanos: time_ms.saturating_mul(NANOS_PER_MILLI),
@@ -46,20 +45,19 @@
         }
     }
 
-    /// The time in milliseconds.
+    /// Returns the time in milliseconds.
     pub fn time(&self, now: u64) -> u64 {
         self.nanos(now) / NANOS_PER_MILLI
     }
 
-    /// How far the time still is from what it is corrected to, in milliseconds; positive
-    /// while it runs fast.
+    /// Returns the outstanding correction in milliseconds; positive while the clock runs fast.
     pub fn correction_ms(&self, now: u64) -> i64 {
         let left = self.correction_nanos - self.slewed_nanos(now);
         left / NANOS_PER_MILLI as i64
     }
 
-    /// Corrects towards the range from `earliest_ms` to `latest_ms`: by slewing, from now
-    /// on. Inside the range nothing is corrected.
+    /// Slews from `now` on towards the range `earliest_ms..=latest_ms`; no correction is made if
+    /// the time is within it.
     pub fn correct(&mut self, earliest_ms: u64, latest_ms: u64, now: u64) {
         let reached = self.nanos(now);
         let earliest = earliest_ms.saturating_mul(NANOS_PER_MILLI);
@@ -70,7 +68,8 @@
         self.read_at = self.read_at.max(now);
     }
 
-    /// Never behind `time_ms`: for what a log already says has passed.
+    /// Steps forward to `time_ms` if the time is behind it. Used for times that a log already
+    /// records as passed.
     pub fn raise_to(&mut self, time_ms: u64, now: u64) {
         if time_ms > self.time(now) {
             *self = SlewedClock::start(time_ms, self.read_at.max(now), self.slew_ppm);
@@ -78,13 +77,13 @@
     }
 
     fn nanos(&self, now: u64) -> u64 {
-        let steady = self.reached_nanos.saturating_add(self.elapsed(now).saturating_mul(NANOS_PER_MILLI));
-        steady.saturating_add_signed(self.slewed_nanos(now))
+        let unslewed = self.reached_nanos.saturating_add(self.elapsed(now).saturating_mul(NANOS_PER_MILLI));
+        unslewed.saturating_add_signed(self.slewed_nanos(now))
     }
 
-    /// What was corrected since `read_at`.
+    /// The correction applied since `read_at`.
     fn slewed_nanos(&self, now: u64) -> i64 {
-        // A millisecond is as many nanoseconds as there are parts in a million.
+        // A millisecond has 10^6 nanoseconds, so ppm times milliseconds gives nanoseconds.
         let bound = i64::try_from(self.elapsed(now).saturating_mul(self.slew_ppm)).unwrap_or(i64::MAX);
         self.correction_nanos.clamp(-bound, bound)
     }
@@ -99,36 +98,37 @@
     if a >= b { magnitude } else { -magnitude }
 }
 
-/// The cluster's time on a process that does not lead: what the leader told last, carried
-/// on by the steady clock.
+/// The cluster's time on a process that is not the leader: the last time received from the leader,
+/// advanced by the monotonic clock.
 ///
-/// The leader's time never steps, so what it tells is taken as it stands; what the process
-/// measures by it (a partition's time) follows by slewing only.
+/// The leader's time never steps, so a received time is adopted without slewing; clocks derived from
+/// it (a partition's time) follow by slewing only.
 #[derive(Clone, Debug, Default)]
 pub struct CarriedTime {
-    told: Option<SlewedClock>,
+    received: Option<SlewedClock>,
 }
 
 impl CarriedTime {
-    /// The leader's time, in an answer that came at `now` to what was asked at `asked`; 0
-    /// if it has none. It was read in between: the latest of the two moments is assumed,
-    /// so that what is carried is late by the way at most, and never early.
+    /// Takes over the leader's time from an answer received at `now` to a request sent at
+    /// `asked`; 0 if the leader has none. The leader read it between the two moments. It is
+    /// assumed to have been read at `now`, so the carried time is late by at most the round trip
+    /// and never early.
     pub fn told(&mut self, time_ms: u64, asked: u64, now: u64) {
         if !is_plausible_time(time_ms) || now < asked {
             return;
         }
-        let way = now - asked;
+        let round_trip = now - asked;
         let fits = |carried: &SlewedClock| {
             let carried = carried.time(now);
-            time_ms <= carried && carried <= time_ms + way
+            time_ms <= carried && carried <= time_ms + round_trip
         };
-        if !self.told.as_ref().is_some_and(fits) {
-            self.told = Some(SlewedClock::start(time_ms, now, 0));
+        if !self.received.as_ref().is_some_and(fits) {
+            self.received = Some(SlewedClock::start(time_ms, now, 0));
         }
     }
 
-    /// None before it was told.
+    /// Returns `None` until a time was received.
     pub fn time(&self, now: u64) -> Option<u64> {
-        self.told.as_ref().map(|c| c.time(now))
+        self.received.as_ref().map(|c| c.time(now))
     }
 }
