--- a/crates/rpc/src/messages.rs
+++ b/crates/rpc/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages of the inner protocol. Field numbers are never used again.
+//! Messages of the internal RPC protocol. Field numbers of removed fields are never reused.
 
 use bytes::Bytes;
 
@@ -23,7 +23,7 @@
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Envelope {
-    /// 0: no reply is wanted.
+    /// Identifies the call on its connection; 0 if no reply is expected.
     #[prost(uint64, tag = "1")]
     pub call: u64,
     #[prost(bool, tag = "2")]
