--- a/crates/rpc/src/messages/control.rs
+++ b/crates/rpc/src/messages/control.rs
@@ -1,9 +1,9 @@
-//! What the majority assigns, leases, and what partitions ask of it.
+//! Assignments made by the control plane, store leases, and the requests of partitions.
 
 use super::*;
 use std::collections::HashSet;
 
-/// What came of the runs on one version of a service since the last report.
+/// Results of runs on one revision of a service since the last report.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Sample {
     #[prost(string, tag = "1")]
@@ -16,14 +16,14 @@
     pub good: u32,
     #[prost(uint32, tag = "5")]
     pub bad: u32,
-    /// Sum of the good runs' milliseconds, and of their squares.
+    /// Sum of the durations of the good runs, in milliseconds.
     #[prost(double, tag = "6")]
     pub ms_sum: f64,
     #[prost(uint32, tag = "7")]
     pub sent: u32,
 }
 
-/// What a majority of the control nodes has agreed on and the data plane needs.
+/// The part of the control nodes' replicated state that the data plane needs.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Assignments {
     #[prost(uint64, tag = "1")]
@@ -34,41 +34,41 @@
     pub rollouts: Vec<Rollout>,
     #[prost(message, repeated, tag = "4")]
     pub retires: Vec<Retire>,
-    /// Not 0: only what has changed since that version.
+    /// If not 0, the message is a delta: it holds only what changed after this version.
     #[prost(uint64, tag = "5")]
     pub since: u64,
-    /// Zones that the operator has emptied, or has taken back; one item a zone at the most.
+    /// Zones that the operator has evacuated or returned to use; at most one entry per zone.
     #[prost(message, repeated, tag = "6")]
     pub evacuations: Vec<Evacuation>,
 }
 
-/// A zone whose processors the operator wants to be sent nothing, or that was taken back.
+/// An operator's order to send nothing to the processors of a zone, or the end of such an order.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Evacuation {
-    /// The zone's name, as in the settings.
+    /// The zone's name as in the settings.
     #[prost(string, tag = "1")]
     pub zone: String,
-    /// The operator has taken it back.
+    /// The operator has ended the evacuation.
     #[prost(bool, tag = "2")]
     pub finished: bool,
-    /// The index of the log at which the last order for this zone stands.
+    /// Log index of the last order for this zone.
     #[prost(uint64, tag = "3")]
     pub ordered: u64,
-    /// Of a finished one: the membership version from which on the listing says which of
-    /// the zone's processors are cold; 0: none says it yet.
+    /// Of a finished evacuation: the first membership version in which the listing says which
+    /// of the zone's processors are cold; 0 if there is none yet.
     #[prost(uint64, tag = "4")]
     pub cold_known_from: u64,
 }
 
-/// How processors of a zone may be used, as far as evacuations go.
+/// Whether evacuations restrict the use of a zone's processors.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneUse {
-    /// As any other.
+    /// No restriction.
     Open,
-    /// Taken back a short while ago: each of its processors may be cold without the listing
-    /// saying so.
+    /// The evacuation ended recently: any processor of the zone may be cold although the listing
+    /// does not say so yet.
     Returning,
-    /// They are sent nothing.
+    /// Nothing is sent to the zone's processors.
     Evacuated,
 }
 
@@ -82,22 +82,23 @@
     pub owner: String,
     #[prost(string, repeated, tag = "4")]
     pub in_sync: Vec<String>,
-    /// The nodes that are to hold it, the preferred owner first.
+    /// The nodes that should hold a replica, the preferred owner first.
     #[prost(string, repeated, tag = "5")]
     pub replicas: Vec<String>,
     #[prost(message, optional, tag = "6")]
     pub grant: Option<Grant>,
-    /// The term began without a stop marker: ask the delivery nodes first.
+    /// The term began without a stop marker of the previous owner, so the new owner must ask the
+    /// delivery nodes first which deliveries they hold.
     #[prost(bool, tag = "7")]
     pub seized: bool,
-    /// The incarnations in which nodes took part last: as owner, or when they joined.
+    /// The incarnation in which each node last became owner or joined the in-sync set.
     #[prost(message, repeated, tag = "8")]
     pub joined: Vec<Joined>,
-    /// The assignments's version in which this was news.
+    /// The version of the assignments in which this partition last changed.
     #[prost(uint64, tag = "9")]
     pub changed: u64,
-    /// The region in which all its copies stand, for messages that are bound to it; empty for
-    /// one that keeps messages of any region.
+    /// The region that holds all replicas, for messages bound to that region; empty if the
+    /// partition keeps messages of any region.
     #[prost(string, tag = "10")]
     pub home: String,
 }
@@ -111,22 +112,22 @@
 }
 
 impl Assignments {
-    /// The partition of whatever has this hash and is bound to no region; `None` before there
-    /// are partitions. Their number stays, so this does.
+    /// Returns the partition for a hash of something that is bound to no region; `None` before
+    /// there are partitions. The number of partitions never changes, so neither does the result.
     pub fn partition_for(&self, hash: u64) -> Option<u32> {
-        // Those that are bound to a region come behind all others.
+        // Partitions bound to a region come after all others.
         let unbound = self.partitions.partition_point(|p| p.home.is_empty());
         let at = hash.checked_rem(unbound as u64)?;
         Some(self.partitions[at as usize].id)
     }
 
-    /// The zones whose processors are sent nothing.
+    /// Returns the zones whose processors must be sent nothing.
     pub fn evacuated_zones(&self, membership_version: u64) -> HashSet<String> {
         let zones = self.evacuations.iter().map(|e| &e.zone);
         zones.filter(|zone| self.zone_use(zone, membership_version) == ZoneUse::Evacuated).cloned().collect()
     }
 
-    /// How the processors of a zone may be used by one that knows the membership of a version.
+    /// Returns how a process that has the given membership version may use the zone's processors.
     pub fn zone_use(&self, zone: &str, membership_version: u64) -> ZoneUse {
         match self.evacuations.iter().find(|evacuation| evacuation.zone == zone) {
             None => ZoneUse::Open,
@@ -138,14 +139,14 @@
 }
 
 impl Evacuation {
-    /// Whether the membership of a version says which processors of the zone are cold.
+    /// Returns whether that membership version says which processors of the zone are cold.
     fn is_cold_known(&self, membership_version: u64) -> bool {
         self.cold_known_from > 0 && membership_version >= self.cold_known_from
     }
 }
 
 impl Partition {
-    /// The incarnation in which a node took part last; 0 if that is not known.
+    /// Returns the incarnation in which a node last became owner or joined; 0 if unknown.
     pub fn joined_incarnation(&self, node: &str) -> u64 {
         self.joined.iter().find(|j| j.node == node).map_or(0, |j| j.incarnation)
     }
@@ -156,7 +157,7 @@
     }
 }
 
-/// The next term, promised to a candidate before the incumbent stops.
+/// The next term, promised to a candidate before the current owner stops.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Grant {
     #[prost(uint64, tag = "1")]
@@ -176,20 +177,20 @@
     /// `running`, `settled` or `reverted`.
     #[prost(string, tag = "3")]
     pub state: String,
-    /// Thousandths of the traffic that the target gets.
+    /// Share of the traffic that goes to the target, in thousandths.
     #[prost(uint32, tag = "4")]
     pub share: u32,
     #[prost(uint64, tag = "5")]
     pub within_ms: u64,
-    /// Versions that were in use before.
+    /// Revisions in use before the rollout.
     #[prost(string, repeated, tag = "6")]
     pub old: Vec<String>,
-    /// Runs sent to the target so far, as the judge has seen them.
+    /// Number of runs sent to the target so far, as counted by the rollout's judge.
     #[prost(uint64, tag = "7")]
     pub spent: u64,
     #[prost(uint64, tag = "8")]
     pub began_ms: u64,
-    /// The index of the log at which it began: tells it from any other one.
+    /// Log index at which it began; identifies the rollout.
     #[prost(uint64, tag = "9")]
     pub began: u64,
 }
@@ -200,36 +201,36 @@
     pub node: String,
     #[prost(bool, tag = "2")]
     pub done: bool,
-    /// The index of the log at which it began.
+    /// Log index at which it began.
     #[prost(uint64, tag = "3")]
     pub began: u64,
-    /// Once done: the birth of the disk that was emptied. A machine of that name
-    /// whose disk began later is another one.
+    /// Once done: the `born` value of the disk that was emptied. A machine of the same name with
+    /// a later value is a different one.
     #[prost(uint64, tag = "4")]
     pub born: u64,
 }
 
-/// An owner's lease on its incarnation: renewed with the leader.
+/// A store node's request to the leader to renew the lease on its incarnation.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Lease {
     #[prost(message, required, tag = "1")]
     pub node: Node,
     #[prost(message, repeated, tag = "2")]
     pub samples: Vec<Sample>,
-    /// The partitions that it acts as owner of.
+    /// The partitions that the node acts as owner of.
     #[prost(message, repeated, tag = "3")]
     pub claims: Vec<Holding>,
-    /// How the node's disk does: 0 well, 1 slow, 2 it does not answer. With 2 the
-    /// node has stopped acting as owner before it says so.
+    /// State of the node's disk: 0 healthy, 1 slow, 2 not responding. A node stops acting as owner
+    /// before it reports 2.
     #[prost(uint32, tag = "4")]
     pub lag: u32,
-    /// The node's time of day.
+    /// The node's wall-clock time.
     #[prost(uint64, tag = "5")]
     pub clock_ms: u64,
-    /// The cluster's time as this node carries it on; 0 if it was told none.
+    /// The cluster's time as this node carries it; 0 if it has received none.
     #[prost(uint64, tag = "15")]
     pub time_ms: u64,
-    /// The latest time that the logs of its partitions say has passed.
+    /// The latest time that the logs of its partitions record as passed.
     #[prost(uint64, tag = "14")]
     pub reached_ms: u64,
 }
@@ -238,27 +239,27 @@
 pub struct LeaseAck {
     #[prost(bool, tag = "1")]
     pub granted: bool,
-    /// Counted from the moment the request was sent.
+    /// Duration of the lease, counted from when the request was sent.
     #[prost(uint32, tag = "2")]
     pub ttl_ms: u32,
-    /// Where to ask instead.
+    /// The address to ask instead.
     #[prost(string, tag = "3")]
     pub leader: String,
-    /// Claimed partitions that are at a higher term by now.
+    /// Claimed partitions that have a higher term by now.
     #[prost(message, repeated, tag = "4")]
     pub outdated: Vec<Partition>,
-    /// Store machines whose disks are slow or do not answer.
+    /// Store machines whose disks are slow or not responding.
     #[prost(string, repeated, tag = "5")]
     pub lagging: Vec<String>,
-    /// As in `ViewUpdate`.
+    /// See `ViewUpdate::newer_incarnation`.
     #[prost(uint64, tag = "6")]
     pub newer_incarnation: u64,
-    /// The fleet's time as the leader has it; 0 when it does not know enough clocks.
+    /// The leader's cluster time; 0 if it does not know enough clocks.
     #[prost(uint64, tag = "7")]
     pub time_ms: u64,
 }
 
-/// What a partition owner or replica asks of the majority.
+/// A request of a partition owner or replica to change the partition's assignment.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Order {
     #[prost(uint32, tag = "1")]
@@ -269,14 +270,14 @@
     pub node: String,
     #[prost(enumeration = "OrderKind", tag = "4")]
     pub kind: i32,
-    /// With `Grant`: the node that is leaving, if the move is for that.
+    /// With `Grant`: the leaving node, if that is the reason for the move.
     #[prost(string, tag = "5")]
     pub leaving: String,
     /// With `Own` and `Join`: the node's incarnation.
     #[prost(uint64, tag = "6")]
     pub incarnation: u64,
-    /// With `Join`: the entry of the majority's log that the asker goes by. What was
-    /// asked before another entry concerned the partition is not granted behind it.
+    /// With `Join`: the index of the control log's entry that the request is based on. A request
+    /// is not granted if a later entry concerns the partition.
     #[prost(uint64, tag = "7")]
     pub seen: u64,
 }
@@ -287,14 +288,13 @@
     None = 0,
     /// Promise the next term to `node`.
     Grant = 1,
-    /// `node` has resumed behind the stop marker.
+    /// `node` has resumed after the stop marker.
     Own = 2,
-    /// `node` holds all that is committed: count it in.
+    /// `node` holds all committed entries: add it to the in-sync set.
     Join = 3,
     /// `node` leaves the in-sync set.
     Drop = 4,
-    /// The owner does not hear `node`, which holds up all commits: another node is to hold
-    /// the partition in its place.
+    /// The owner gets no answer from `node`, which blocks all commits: replace it by another node.
     Replace = 5,
 }
 
@@ -302,7 +302,7 @@
 pub struct OrderAck {
     #[prost(bool, tag = "1")]
     pub ok: bool,
-    /// Refused for good at this term (otherwise: try again).
+    /// Permanently refused at this term; if false, the request may be retried.
     #[prost(bool, tag = "2")]
     pub refused: bool,
     #[prost(string, tag = "3")]
