--- a/crates/rpc/src/messages/delivery.rs
+++ b/crates/rpc/src/messages/delivery.rs
@@ -1,4 +1,5 @@
-//! Messages on their way: taken in, looked up, run, reported, called back.
+//! Messages for accepting, placing, looking up, delivering and reporting clients' messages, and for
+//! call-backs.
 
 use super::*;
 
@@ -10,26 +11,26 @@
     pub item: Item,
     #[prost(uint64, tag = "3")]
     pub revision: u64,
-    /// Left until it is due.
+    /// Time until the message is due.
     #[prost(uint64, tag = "4")]
     pub delay_ms: u64,
-    /// The generations of the placements by which it came here; 0 at the directory.
+    /// The generations of the placements by which it was routed here; 0 at the directory.
     #[prost(message, required, tag = "5")]
     pub generations: PlacementGenerations,
 }
 
-/// The generations of the placements by which a message came to its partition.
+/// The generations of the placements by which a message was routed to its partition.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct PlacementGenerations {
-    /// That of its operation's placement.
+    /// Generation of its operation's placement.
     #[prost(uint64, tag = "1")]
     pub operation: u64,
-    /// That of its order key's placement.
+    /// Generation of its order key's placement.
     #[prost(uint64, tag = "2")]
     pub order: u64,
 }
 
-/// A message as it arrived.
+/// A message as received from the client.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Item {
     #[prost(string, tag = "1")]
@@ -50,24 +51,24 @@
     pub content_type: String,
     #[prost(bytes = "bytes", tag = "9")]
     pub body: Bytes,
-    /// The tenant that sent it; empty where the configuration has none or the route is
+    /// The tenant that sent it; empty if the configuration has no tenants or the route is
     /// `unkeyed`.
     #[prost(string, tag = "10")]
     pub tenant: String,
-    /// The operation that it is a try at, where operations have keys.
+    /// The operation that this message attempts, if operations have keys.
     #[prost(message, optional, tag = "11")]
     pub operation: Option<OperationId>,
 }
 
 impl Item {
-    /// The order key that it is under; `None` without one.
+    /// Returns its order key, if it has one.
     pub fn order(&self) -> Option<OrderKey> {
         let order = || OrderKey { tenant: self.tenant.clone(), key: self.order_key.clone() };
         (!self.order_key.is_empty()).then(order)
     }
 }
 
-/// Stands for an operation key of a tenant: the first half of a SHA-256 over both.
+/// Identifies a tenant's operation key: the first half of a SHA-256 over both.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Message)]
 pub struct OperationId {
     /// The first eight bytes.
@@ -82,29 +83,30 @@
 #[repr(i32)]
 pub enum AcceptOutcome {
     None = 0,
-    /// On the disks of every in-sync replica.
+    /// Durable on every in-sync replica.
     Taken = 1,
-    /// Not here; `owner` may say where. Nothing was written.
+    /// This node is not the owner; `owner` may name it. Nothing was written.
     Elsewhere = 2,
-    /// Not now; nothing was written.
+    /// No capacity at the moment; nothing was written.
     Full = 3,
-    /// No such route here any more; nothing was written.
+    /// The route no longer exists here; nothing was written.
     NoRoute = 4,
-    /// It may be written.
+    /// The message may have been written.
     Unclear = 5,
-    /// Its tenant has no more of its limit now; nothing was written.
+    /// The tenant's limit is exhausted at the moment; nothing was written.
     OverQuota = 6,
-    /// Its operation was placed in another partition, which `partition` names; it is not kept here.
+    /// Its operation was placed in another partition, named by `partition`, and is not kept here.
     PlacedElsewhere = 7,
-    /// Of a question alone: its operation is neither kept here nor placed elsewhere.
+    /// Only for a lookup (`Place` without `wanted`): the operation is neither kept here nor placed
+    /// elsewhere.
     NotKnown = 8,
-    /// Of a placement: messages of the order key are under way here, and it stays.
+    /// Only for a placement: messages of the order key are in progress here, so it stays.
     StaysHere = 9,
     /// Its order key was placed in another partition; nothing was written.
     OrderPlacedElsewhere = 10,
 }
 
-/// An order key of a tenant.
+/// A tenant's order key.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Message)]
 pub struct OrderKey {
     /// Empty without tenants.
@@ -114,10 +116,10 @@
     pub key: String,
 }
 
-/// What is placed in one partition at a time.
+/// Something that is placed in one partition at a time.
 #[derive(Clone, PartialEq, Eq, Hash, PartialOrd, Ord, prost::Oneof)]
 pub enum PlacementSubject {
-    /// All tries at an operation.
+    /// All attempts at an operation.
     #[prost(message, tag = "2")]
     Operation(OperationId),
     /// All messages of an order key.
@@ -125,10 +127,10 @@
     Order(OrderKey),
 }
 
-/// Asks the owner of a partition where a subject is kept. One that is neither kept there nor
-/// placed elsewhere is placed in the `wanted` partition. Answered by `Accepted`: `Taken` with the
+/// Asks the owner of a partition where a subject is kept. A subject that is neither kept there nor
+/// placed elsewhere is placed in the `wanted` partition. The reply is `Accepted` with `Taken` and the
 /// position of an operation's message, `StaysHere`, `PlacedElsewhere` with partition and generation,
-/// or an outcome that says that nothing was decided.
+/// or an outcome which says that nothing was decided.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Place {
     /// The partition whose owner is asked.
@@ -136,16 +138,16 @@
     pub partition: u32,
     #[prost(oneof = "PlacementSubject", tags = "2, 3")]
     pub subject: Option<PlacementSubject>,
-    /// Where to place it; absent: a question that places nothing.
+    /// Where to place the subject; absent for a lookup, which places nothing.
     #[prost(uint32, optional, tag = "4")]
     pub wanted: Option<u32>,
-    /// The rank of the message's route, by which room is given.
+    /// The rank of the message's route, which decides how capacity is allotted.
     #[prost(uint32, tag = "5")]
     pub rank: u32,
-    /// That of the placement by which the asker came here; 0 at the directory.
+    /// Generation of the placement by which the request was routed here; 0 at the directory.
     #[prost(uint64, tag = "6")]
     pub generation: u64,
-    /// For an order key: how long its message may be under way, in milliseconds.
+    /// For an order key: how long its message may be in progress, in milliseconds.
     #[prost(uint64, tag = "7")]
     pub hold_ms: u64,
 }
@@ -176,20 +178,20 @@
     pub position: u64,
     #[prost(bool, tag = "3")]
     pub body: bool,
-    /// Instead of the position: the request's id.
+    /// The request's id, to look up by id instead of by position.
     #[prost(string, tag = "4")]
     pub id: String,
-    /// Whoever asks by id: the tenant whose messages are meant.
+    /// For a lookup by id: the tenant whose messages are searched.
     #[prost(string, tag = "5")]
     pub tenant: String,
-    /// The region of the asking front, to which a body may not be allowed.
+    /// The region of the requesting front; the body may be barred from it.
     #[prost(string, tag = "6")]
     pub region: String,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Found {
-    /// False: this node does not own the partition; ask again.
+    /// False if this node does not own the partition; the caller asks again.
     #[prost(bool, tag = "1")]
     pub owner: bool,
     #[prost(bool, tag = "2")]
@@ -205,12 +207,12 @@
     /// The tenant that the message belongs to.
     #[prost(string, tag = "7")]
     pub tenant: String,
-    /// There is a body, which may not leave the regions that the message is bound to.
+    /// There is a body, but it may not leave the regions that the message is bound to.
     #[prost(bool, tag = "8")]
     pub withheld: bool,
 }
 
-/// One delivery, given to a delivery node.
+/// Dispatches one delivery to a delivery node.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Run {
     #[prost(uint32, tag = "1")]
@@ -230,18 +232,18 @@
     pub item: Item,
     #[prost(uint32, tag = "8")]
     pub conn_limit: u32,
-    /// Position of the dispatch record: with the term it names this attempt.
+    /// Position of the dispatch record; together with the term it identifies the attempt.
     #[prost(uint64, tag = "9")]
     pub attempt: u64,
-    /// Not to be run: this attempt is given up, and refused from then on, unless it
-    /// was taken already.
+    /// Revokes the attempt instead of running it: the node refuses it from then on, unless it has
+    /// already taken it.
     #[prost(bool, tag = "10")]
     pub revoked: bool,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct RunAck {
-    /// False: it will not run here.
+    /// False if the delivery will not run here.
     #[prost(bool, tag = "1")]
     pub taken: bool,
 }
@@ -250,15 +252,15 @@
 #[repr(i32)]
 pub enum Outcome {
     None = 0,
-    /// 2xx with a seal, whole.
+    /// A complete 2xx answer with a seal.
     Done = 1,
     /// 500: this attempt failed.
     Failed = 2,
-    /// 422: it can never be done.
+    /// 422: the message can never be processed.
     Never = 3,
-    /// The processor, or this side, says that it did not run.
+    /// The processor or the sender states that it did not run.
     NotRun = 4,
-    /// Silence, reset, broken answer: it may have run.
+    /// Time-out, reset or malformed answer: it may have run.
     Unknown = 5,
 }
 
@@ -274,7 +276,7 @@
     pub result_tag: String,
     #[prost(uint32, tag = "5")]
     pub status: u32,
-    /// Running and waiting at the processor, as it said; `loaded` says that it did.
+    /// Requests running and waiting at the processor as it reported; only valid if `loaded` is set.
     #[prost(uint32, tag = "6")]
     pub running: u32,
     #[prost(uint32, tag = "7")]
@@ -285,19 +287,20 @@
     pub took_ms: u32,
     #[prost(uint64, tag = "10")]
     pub attempt: u64,
-    /// At which the attempt was given out; 0 if not told.
+    /// Term in which the attempt was dispatched; 0 if unknown.
     #[prost(uint64, tag = "11")]
     pub term: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ReportAck {
-    /// False: this node does not own the partition; find who does.
+    /// False if this node does not own the partition; the sender has to find the owner.
     #[prost(bool, tag = "1")]
     pub kept: bool,
 }
 
-/// A new owner asks a delivery node what it holds; older terms are refused from then on.
+/// A new owner's query for the deliveries that a node holds; the node refuses older terms from then
+/// on.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Holding {
     #[prost(uint32, tag = "1")]
@@ -310,7 +313,7 @@
 pub struct Held {
     #[prost(uint64, repeated, tag = "1")]
     pub positions: Vec<u64>,
-    /// The attempt and the term of each, in the same order.
+    /// The attempt and the term of each position, in the same order.
     #[prost(uint64, repeated, tag = "2")]
     pub attempts: Vec<u64>,
     #[prost(uint64, repeated, tag = "3")]
