--- a/crates/rpc/src/messages/membership.rs
+++ b/crates/rpc/src/messages/membership.rs
@@ -1,8 +1,8 @@
-//! Sessions, and the view of the cluster that is passed on: nodes, processors, versions.
+//! Sessions, and the propagated view of the cluster: nodes, processors, versions.
 
 use super::*;
 
-/// A node of the system, as it tells of itself.
+/// A node of the cluster, as it describes itself.
 #[derive(Clone, PartialEq, Eq, Hash, prost::Message)]
 pub struct Node {
     #[prost(string, tag = "1")]
@@ -14,7 +14,7 @@
     pub zone: String,
     #[prost(string, tag = "4")]
     pub region: String,
-    /// Where it takes inner connections.
+    /// Address on which it accepts internal connections.
     #[prost(string, tag = "5")]
     pub inner: String,
     /// Changes with every start of the process.
@@ -22,16 +22,16 @@
     pub incarnation: u64,
     #[prost(bool, tag = "7")]
     pub leaving: bool,
-    /// In a membership: the version in which this was news.
+    /// In a membership: the version in which this node last changed.
     #[prost(uint64, tag = "9")]
     pub changed: u64,
-    /// The incarnation in which its disk was empty; 0: at the system's first start. What it
-    /// joined before that it does not hold.
+    /// The incarnation in which its disk was empty; 0 if that was the system's first start. It does
+    /// not hold the data of partitions that it joined before.
     #[prost(uint64, tag = "10")]
     pub born: u64,
 }
 
-/// The versions of the three things that are passed on.
+/// The versions of the three parts of the propagated view.
 #[derive(Clone, Copy, PartialEq, Eq, prost::Message)]
 pub struct ViewVersions {
     #[prost(uint64, tag = "1")]
@@ -42,7 +42,7 @@
     pub membership: u64,
 }
 
-/// Keeps a session and asks for news; answered when there is some, or after `wait_ms`.
+/// Renews a session and long-polls for changes; answered when there are any, or after `wait_ms`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct WatchRequest {
     #[prost(message, optional, tag = "1")]
@@ -51,17 +51,17 @@
     pub have: ViewVersions,
     #[prost(uint32, tag = "3")]
     pub wait_ms: u32,
-    /// Sessions that a control node holds, told to the leader.
+    /// Sessions held by a control node, reported to the leader.
     #[prost(message, repeated, tag = "4")]
     pub sessions: Vec<Node>,
-    /// From a control node: its time of day.
+    /// From a control node: its wall-clock time.
     #[prost(uint64, tag = "5")]
     pub clock_ms: u64,
-    /// The cluster's time as the asker carries it on; 0 if it was told none.
+    /// The cluster's time as the requester carries it; 0 if it has received none.
     #[prost(uint64, tag = "15")]
     pub time_ms: u64,
-    /// Addresses of processors whose answers do not name their request. From a front: those
-    /// that it found; from a control node: those that the fronts told it.
+    /// Addresses of processors whose answers do not name their request. From a front, those that it
+    /// detected; from a control node, those that the fronts reported to it.
     #[prost(string, repeated, tag = "12")]
     pub unidentified: Vec<String>,
 }
@@ -76,50 +76,51 @@
     pub assignments: Option<Assignments>,
     #[prost(message, optional, tag = "4")]
     pub membership: Option<Membership>,
-    /// Inner address of the leader, if known.
+    /// Internal address of the leader, if known.
     #[prost(string, tag = "5")]
     pub leader: String,
-    /// Inner addresses of control nodes.
+    /// Internal addresses of the control nodes.
     #[prost(string, repeated, tag = "6")]
     pub control_nodes: Vec<String>,
-    /// An incarnation of the asker's that is known and comes after the one it told: it is
-    /// to begin another after that.
+    /// A known incarnation of the requester that is greater than the one it sent; the requester
+    /// must switch to one after that.
     #[prost(uint64, tag = "7")]
     pub newer_incarnation: u64,
-    /// The whole configuration, packed; a large one takes a slow link for seconds else.
+    /// The whole configuration, compressed; a large one would otherwise occupy a slow link for
+    /// seconds.
     #[prost(bytes = "bytes", tag = "9")]
     pub packed: Bytes,
-    /// Instead of `membership`, packed: a large one takes a slow link for longer than an answer
-    /// is waited for.
+    /// The membership, compressed, instead of `membership`: transferring a large one over a slow
+    /// link takes longer than the caller waits for an answer.
     #[prost(bytes = "bytes", tag = "11")]
     pub packed_membership: Bytes,
-    /// Instead of the whole configuration: the changes since the asker's, in order.
+    /// Instead of the whole configuration: the changes since the requester's, in order.
     #[prost(message, repeated, tag = "8")]
     pub steps: Vec<ConfigurationStep>,
-    /// The cluster's time; 0 if it is not known.
+    /// The cluster's time; 0 if unknown.
     #[prost(uint64, tag = "15")]
     pub time_ms: u64,
-    /// To a control node: processors whose answers do not name their request, as all fronts
-    /// told them.
+    /// To a control node: processors whose answers do not name their request, as reported by all
+    /// fronts.
     #[prost(string, repeated, tag = "14")]
     pub unidentified: Vec<String>,
-    /// How long before this was asked for the revision in `have` was shown to be the newest,
-    /// in milliseconds; told where machines have to show that.
+    /// How long before the request the revision in `have` was confirmed as the newest, in
+    /// milliseconds; set only if machines have to confirm that.
     #[prost(uint64, optional, tag = "10")]
     pub configuration_age_ms: Option<u64>,
 }
 
-/// What changed from one configuration to the next.
+/// The change from one configuration to the next.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ConfigurationStep {
     #[prost(uint64, tag = "1")]
     pub since: u64,
     #[prost(uint64, tag = "2")]
     pub revision: u64,
-    /// As operators write it.
+    /// The change as written by the operator.
     #[prost(bytes = "bytes", tag = "3")]
     pub change: Bytes,
-    /// Of the whole that comes of it: one that differs is fetched whole.
+    /// Fingerprint of the resulting configuration; on a mismatch the whole one is fetched.
     #[prost(fixed64, tag = "4")]
     pub fingerprint: u64,
 }
@@ -132,7 +133,7 @@
     pub pull: bool,
 }
 
-/// Soft state: who is a member, and which processors there are.
+/// Soft state: the current nodes and processors.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Membership {
     #[prost(uint64, tag = "1")]
@@ -143,13 +144,13 @@
     pub processors: Vec<Processor>,
     #[prost(bool, tag = "4")]
     pub listed: bool,
-    /// Not 0: only what has changed since that version.
+    /// If not 0, the message is a delta: it holds only what changed after this version.
     #[prost(uint64, tag = "5")]
     pub since: u64,
-    /// What is no longer there.
+    /// Nodes and processors that were removed.
     #[prost(message, repeated, tag = "6")]
     pub gone: Vec<Gone>,
-    /// From which version on `gone` is complete.
+    /// The version from which on `gone` is complete.
     #[prost(uint64, tag = "7")]
     pub from: u64,
 }
@@ -165,7 +166,7 @@
     pub version: u64,
 }
 
-/// A processor as the platform lists it.
+/// A processor as listed by the platform.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Processor {
     #[prost(string, tag = "1")]
@@ -184,7 +185,7 @@
     pub draining: bool,
     #[prost(bool, tag = "8")]
     pub cold: bool,
-    /// In a membership: the version in which this was news.
+    /// In a membership: the version in which this processor last changed.
     #[prost(uint64, tag = "9")]
     pub changed: u64,
 }
