--- a/crates/rpc/src/messages/partition.rs
+++ b/crates/rpc/src/messages/partition.rs
@@ -1,4 +1,4 @@
-//! Replication of a partition's log.
+//! Replication of partition logs.
 
 use super::*;
 
@@ -18,7 +18,7 @@
     pub term: u64,
     #[prost(string, tag = "3")]
     pub owner: String,
-    /// Position and term of the entry before the first one sent.
+    /// Position and term of the entry that precedes the first one sent.
     #[prost(uint64, tag = "4")]
     pub prev: u64,
     #[prost(uint64, tag = "5")]
@@ -27,7 +27,7 @@
     pub entries: Vec<LogEntry>,
     #[prost(uint64, tag = "7")]
     pub commit: u64,
-    /// The partition's time as the owner sent this; 0 if it does not run there yet.
+    /// The partition's time at the owner when this was sent; 0 if that clock has not started yet.
     #[prost(uint64, tag = "15")]
     pub time_ms: u64,
 }
@@ -40,27 +40,27 @@
     pub term: u64,
     #[prost(string, tag = "3")]
     pub node: String,
-    /// All up to here is on this node's disk.
+    /// Everything up to this position is durable on this node.
     #[prost(uint64, tag = "4")]
     pub durable: u64,
-    /// Does not join on: send from behind `durable`.
+    /// The entries did not connect to the node's log: send again from after `durable`.
     #[prost(bool, tag = "5")]
     pub gap: bool,
-    /// Position of the last epoch record whose digest the shadow state matched.
+    /// Position of the last epoch record whose digest matched the shadow state.
     #[prost(uint64, tag = "6")]
     pub verified: u64,
-    /// A digest differed.
+    /// The digest of an epoch record did not match.
     #[prost(bool, tag = "7")]
     pub mismatch: bool,
-    /// Position of the first epoch record of the unbroken run of matches.
+    /// Position of the first epoch record in the current run of consecutive matches.
     #[prost(uint64, tag = "8")]
     pub verified_from: u64,
-    /// The node's incarnation: in another one it may have lost its disk.
+    /// The node's incarnation; in a different one it may have lost its disk.
     #[prost(uint64, tag = "9")]
     pub incarnation: u64,
 }
 
-/// A piece of a snapshot of a partition's state.
+/// A chunk of a snapshot of a partition's state.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Chunk {
     #[prost(uint32, tag = "1")]
@@ -69,7 +69,7 @@
     pub term: u64,
     #[prost(string, tag = "3")]
     pub owner: String,
-    /// The state is the fold of all up to here.
+    /// The snapshot covers all entries up to this position.
     #[prost(uint64, tag = "4")]
     pub position: u64,
     #[prost(uint64, tag = "5")]
