--- a/crates/rpc/src/messages/quota.rs
+++ b/crates/rpc/src/messages/quota.rs
@@ -1,85 +1,83 @@
-//! Shares of tenants' limits: what owners of partitions spent, and what the leader grants.
+//! Shares of tenants' limits: usage reports of partition owners and grants of the leader.
 
 use super::*;
 
-/// What an owner tells of one tenant.
+/// An owner's report on one tenant.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TenantUsage {
-    /// The tenant's name.
     #[prost(string, tag = "1")]
     pub tenant: String,
-    /// Tokens that it holds.
+    /// Tokens that the owner holds.
     #[prost(uint32, tag = "2")]
     pub held: u32,
-    /// Tokens that it would like to have besides.
+    /// Tokens that it requests in addition.
     #[prost(uint32, tag = "3")]
     pub wanted: u32,
-    /// What was spent, a partition each.
+    /// Tokens spent, one entry per partition.
     #[prost(message, repeated, tag = "4")]
     pub spendings: Vec<PartitionUsage>,
 }
 
-/// Tokens of a tenant that were spent on messages of one partition.
+/// Tokens of a tenant spent on messages of one partition.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct PartitionUsage {
-    /// The partition's number.
     #[prost(uint32, tag = "1")]
     pub partition: u32,
     /// The owner's term.
     #[prost(uint64, tag = "2")]
     pub term: u64,
-    /// Tokens that this owner has spent since it began with that term.
+    /// Tokens that this owner has spent since the start of that term.
     #[prost(uint64, tag = "3")]
     pub spent_total: u64,
-    /// Not empty: all that was spent in the last window, in parts by age.
+    /// If not empty, everything spent in the last window, divided by age.
     #[prost(uint32, repeated, tag = "4")]
     pub recent: Vec<u32>,
 }
 
-/// An owner of partitions asks the leader for shares of tenants' limits.
+/// A partition owner's request to the leader for shares of tenants' limits.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct QuotaRequest {
-    /// The asker; its incarnation tells it from a former one.
+    /// The requesting node; its incarnation distinguishes it from an earlier process of that name.
     #[prost(message, required, tag = "1")]
     pub node: Node,
-    /// Greater with each request of an incarnation.
+    /// Increases with each request of an incarnation.
     #[prost(uint64, tag = "2")]
     pub sequence: u64,
-    /// It tells of every tenant, and all that was spent in the last window.
+    /// The request is a full report: every tenant, and everything spent in the last window.
     #[prost(bool, tag = "3")]
     pub introduces: bool,
-    /// What it tells, a tenant each.
+    /// The reports, one per tenant.
     #[prost(message, repeated, tag = "4")]
     pub usages: Vec<TenantUsage>,
-    /// The partitions whose accepted messages are counted in what it spent.
+    /// The partitions whose accepted messages are included in the spent tokens.
     #[prost(message, repeated, tag = "5")]
     pub counted: Vec<Holding>,
 }
 
-/// What the leader grants of one tenant's limit.
+/// The leader's grant from one tenant's limit.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct TenantGrant {
-    /// Tokens besides those that are held.
+    /// Tokens granted in addition to those held.
     #[prost(uint32, tag = "1")]
     pub granted: u32,
-    /// How many of those that are held may be kept.
+    /// How many of the held tokens the owner may keep.
     #[prost(uint32, tag = "2")]
     pub keep: u32,
-    /// With fewer than were wanted: after how many milliseconds there may be more.
+    /// If fewer were granted than requested: milliseconds after which more may be available.
     #[prost(uint32, tag = "3")]
     pub retry_ms: u32,
 }
 
-/// What the leader answers.
+/// The reply to a `QuotaRequest`.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct QuotaResponse {
-    /// Whether whoever answers leads, and has taken what it was told.
+    /// The responder is the leader and has recorded the report.
     #[prost(bool, tag = "1")]
     pub taken: bool,
-    /// It leads, and does not know the asker.
+    /// The responder is the leader and does not know the requester, which must send a full report.
     #[prost(bool, tag = "2")]
     pub introduce: bool,
-    /// As the usages in the request.
+    /// One grant per usage in the request, in the same order.
     #[prost(message, repeated, tag = "3")]
     pub grants: Vec<TenantGrant>,
 }
