--- a/crates/rpc/src/messages/raft.rs
+++ b/crates/rpc/src/messages/raft.rs
@@ -1,4 +1,4 @@
-//! Messages of the control nodes' majority log.
+//! Messages of the control nodes' Raft log.
 
 use super::*;
 
@@ -10,7 +10,7 @@
     pub term: u64,
     #[prost(bytes = "bytes", tag = "3")]
     pub data: Bytes,
-    /// Who votes from this entry on; empty: as before.
+    /// The voters from this entry on; empty if unchanged.
     #[prost(string, repeated, tag = "4")]
     pub voters: Vec<String>,
 }
@@ -23,10 +23,11 @@
     pub term: u64,
     #[prost(enumeration = "RaftMessageKind", tag = "3")]
     pub kind: i32,
-    /// Ask: last entry of the asker. Append: entry before the first one sent.
+    /// `RequestVote`: the candidate's last entry. `Append`: the entry that precedes the first one
+    /// sent.
     #[prost(uint64, tag = "4")]
     pub index: u64,
-    /// Of the entry at `index`; in the answer to a pre-vote: the voter's own term.
+    /// Term of the entry at `index`; in the reply to a pre-vote, the voter's own term.
     #[prost(uint64, tag = "5")]
     pub log_term: u64,
     #[prost(message, repeated, tag = "6")]
@@ -35,36 +36,36 @@
     pub commit: u64,
     #[prost(bool, tag = "8")]
     pub ok: bool,
-    /// With `InstallSnapshot`: the piece of the state from `offset` on.
+    /// With `InstallSnapshot`: the chunk of the snapshot that starts at `offset`.
     #[prost(bytes = "bytes", tag = "9")]
     pub state: Bytes,
-    /// From one without a vote: wants to be readmitted. To it: it is.
+    /// From a node without a vote: a request to be readmitted. To such a node: it is readmitted.
     #[prost(bool, tag = "10")]
     pub readmit: bool,
-    /// Only asks whether it would be elected.
+    /// A pre-vote: only asks whether the sender would be elected.
     #[prost(bool, tag = "11")]
     pub pre_vote: bool,
-    /// With `InstallSnapshot`: who voted as of that state.
+    /// With `InstallSnapshot`: the voters as of that snapshot.
     #[prost(string, repeated, tag = "12")]
     pub voters: Vec<String>,
-    /// Numbers appends, to tell rounds apart; of a campaign: tells it from others.
+    /// Number of the append round, or of the election campaign; distinguishes it from others.
     #[prost(uint64, tag = "13")]
     pub round: u64,
-    /// Answer to a pre-vote: has heard of no leader since its process began.
+    /// Reply to a pre-vote: the voter has not heard of any leader since its process started.
     #[prost(bool, tag = "14")]
     pub blank: bool,
-    /// With `InstallSnapshot`: bytes before this piece; with its answer: bytes held.
-    /// With `readmit`: names the incarnation that asks.
+    /// With `InstallSnapshot`: offset of this chunk in bytes; in its reply: number of bytes held.
+    /// With `readmit`: identifies the incarnation that asks.
     #[prost(uint64, tag = "15")]
     pub offset: u64,
-    /// Bytes of the whole snapshot.
+    /// Size of the whole snapshot in bytes.
     #[prost(uint64, tag = "16")]
     pub total: u64,
     /// SHA-256 of the whole snapshot.
     #[prost(bytes = "bytes", tag = "17")]
     pub digest: Bytes,
-    /// With `Append` and `InstallSnapshot`: of a leader that no majority answers. It is
-    /// answered and may bring entries, but keeps nobody from electing another leader.
+    /// With `Append` and `InstallSnapshot`: sent by a leader that gets no answers from a majority.
+    /// Receivers reply and accept entries, but it does not keep them from electing another leader.
     #[prost(bool, tag = "18")]
     pub probe: bool,
 }
@@ -78,8 +79,8 @@
     Append = 3,
     AppendAck = 4,
     InstallSnapshot = 5,
-    /// The leader names its successor.
+    /// The leader asks its chosen successor to start an election.
     TimeoutNow = 6,
-    /// How much of a snapshot is held.
+    /// Acknowledges the part of a snapshot that is held.
     SnapshotAck = 7,
 }
