--- a/crates/rpc/src/messages/slots.rs
+++ b/crates/rpc/src/messages/slots.rs
@@ -2,32 +2,32 @@
 
 use super::*;
 
-/// A front asks a function's slot owner for a slot.
+/// A front's request for a slot to the slot owner of a function.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SlotRequest {
     #[prost(string, tag = "1")]
     pub service: String,
     #[prost(string, tag = "2")]
     pub front: String,
-    /// Names the slot from now on, among those of this front.
+    /// Identifies the slot from now on among those of this front.
     #[prost(uint64, tag = "3")]
     pub slot_id: u64,
-    /// How long it is worth waiting for one.
+    /// The maximum time to wait for a slot.
     #[prost(uint32, tag = "4")]
     pub patience_ms: u32,
-    /// How long it may be held, at the most.
+    /// The maximum time for which the slot may be held.
     #[prost(uint32, tag = "5")]
     pub hold_ms: u32,
-    /// The aim of the request.
+    /// The target latency of the request.
     #[prost(uint32, tag = "6")]
     pub target_start_ms: u32,
-    /// Fronts that come before the asked one and do not answer the asker.
+    /// Fronts that precede the receiver as slot owner and do not answer the requester.
     #[prost(string, repeated, tag = "7")]
     pub dark: Vec<String>,
     /// The rank of the request's route; 0 is the most urgent.
     #[prost(uint32, tag = "8")]
     pub rank: u32,
-    /// The zones in which the request may run; empty: anywhere.
+    /// The zones in which the request may run; empty if any.
     #[prost(string, repeated, tag = "9")]
     pub zones: Vec<String>,
 }
@@ -40,13 +40,13 @@
     pub processor: String,
     #[prost(string, tag = "3")]
     pub address: String,
-    /// It has not answered anybody yet: connect until it does, and say so.
+    /// The processor has not answered anyone yet: retry connecting until it does, and report that.
     #[prost(bool, tag = "4")]
     pub starting: bool,
-    /// With `None`: after how long another try may do better.
+    /// With `None`: time after which a retry may succeed.
     #[prost(uint32, tag = "5")]
     pub retry_ms: u32,
-    /// The processor's zone; empty if it is not known.
+    /// The processor's zone; empty if unknown.
     #[prost(string, tag = "6")]
     pub zone: String,
 }
@@ -56,22 +56,22 @@
 pub enum SlotOutcome {
     None = 0,
     Granted = 1,
-    /// Another front keeps this function, as far as is known here.
+    /// As far as the receiver knows, another front owns the slots of this function.
     Elsewhere = 2,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum SlotEnd {
-    /// Given back.
+    /// Released after use.
     Done = 0,
-    /// Given back: the processor said that it was full.
+    /// Released: the processor answered that it was full.
     Full = 1,
-    /// Given back: nobody listens there, or another processor does.
+    /// Released: the address refuses connections, or another processor answers there.
     Gone = 2,
-    /// Given back: no answer to a connection, or none in time.
+    /// Released: the connection or the request timed out.
     Dark = 3,
-    /// Still held: the processor has started.
+    /// Not released yet: the processor has started.
     Up = 4,
 }
 
@@ -87,12 +87,12 @@
     pub processor: String,
     #[prost(enumeration = "SlotEnd", tag = "5")]
     pub end: i32,
-    /// How long the request took at the processor; 0 if it did not run.
+    /// Duration of the request at the processor; 0 if it did not run.
     #[prost(uint32, tag = "6")]
     pub took_ms: u32,
 }
 
-/// A front tells a new slot owner what it holds of its functions.
+/// A front's report to a new slot owner of the slots that it holds for the owner's functions.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SlotsHeld {
     #[prost(string, tag = "1")]
@@ -111,64 +111,63 @@
     pub processor: String,
     #[prost(string, tag = "4")]
     pub address: String,
-    /// For how much longer, at the most.
+    /// Remaining maximum time for which the slot may be held.
     #[prost(uint32, tag = "5")]
     pub hold_ms: u32,
-    /// The processor's zone; empty if it is not known.
+    /// The processor's zone; empty if unknown.
     #[prost(string, tag = "6")]
     pub zone: String,
 }
 
-/// A slot owner wants a processor of a function: asked of the leader.
+/// A slot owner's request to the leader to start a processor of a function.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Start {
     #[prost(string, tag = "1")]
     pub service: String,
-    /// The same for every ask of one start, so that it is carried out once.
+    /// Idempotency key: the same in every retry of one start, so that it is carried out once.
     #[prost(string, tag = "2")]
     pub nonce: String,
-    /// Where it is wanted, if there is room.
+    /// The preferred zone, if it has room.
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// The zones in which it may be started; empty: anywhere.
+    /// The zones in which it may be started; empty if any.
     #[prost(string, repeated, tag = "4")]
     pub zones: Vec<String>,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct StartAck {
-    /// Empty: not now.
+    /// Empty if no processor can be started now.
     #[prost(string, tag = "1")]
     pub processor: String,
     #[prost(string, tag = "2")]
     pub address: String,
-    /// Where to ask instead.
+    /// The address to ask instead.
     #[prost(string, tag = "3")]
     pub leader: String,
-    /// No worker has room: asking again at once is of no use.
+    /// No worker has room, so an immediate retry is useless.
     #[prost(bool, tag = "4")]
     pub full: bool,
-    /// The processor's zone.
     #[prost(string, tag = "5")]
     pub zone: String,
 }
 
-/// A front asks for the processors of the functions that it keeps.
+/// A front's request for the processors of the functions whose slots it owns.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct ProcessorsRequest {
     #[prost(string, tag = "1")]
     pub front: String,
-    /// Of what it was told last.
+    /// Digest of the last answer that it received.
     #[prost(fixed64, tag = "2")]
     pub digest: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Processors {
-    /// False: not known here, or not yet; what was told before stands.
+    /// False if the processors are not known here (yet); the previous answer stays valid.
     #[prost(bool, tag = "1")]
     pub known: bool,
-    /// Empty if the digest is that of the ask.
+    /// Empty if the digest equals that of the request.
     #[prost(message, repeated, tag = "2")]
     pub processors: Vec<Processor>,
     #[prost(fixed64, tag = "3")]
