--- a/crates/rpc/src/messages/status.rs
+++ b/crates/rpc/src/messages/status.rs
@@ -1,4 +1,4 @@
-//! What operators ask of a single process.
+//! Status query of operators to a single process.
 
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Status {}
