--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -11,30 +11,30 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// The largest frame that is taken; a larger one closes its connection.
+/// The maximum frame length in bytes; a larger frame closes its connection.
 pub const FRAME_LIMIT: usize = 4 << 20;
 
-/// Appends one frame: its length in four bytes, then the envelope.
+/// Appends one frame: the length as a big-endian `u32`, then the encoded envelope.
 pub fn put_frame(out: &mut BytesMut, envelope: &Envelope) {
     let len = envelope.encoded_len();
     out.reserve(len + 4);
     out.extend_from_slice(&(len as u32).to_be_bytes());
     envelope.encode(out).expect("room was reserved");
-    if let Some(b) = &envelope.body {
-        let (frames, bytes) = &SENT[kind(b)];
+    if let Some(body) = &envelope.body {
+        let (frames, bytes) = &SENT_BY_KIND[message_kind(body)];
         frames.fetch_add(1, Ordering::Relaxed);
         bytes.fetch_add(len as u64 + 4, Ordering::Relaxed);
     }
 }
 
-/// How many kinds of messages there are.
-const KINDS: usize = 40;
+const KIND_COUNT: usize = 40;
 
-/// Frames and bytes sent by this process, by kind.
-static SENT: [(AtomicU64, AtomicU64); KINDS] = [const { (AtomicU64::new(0), AtomicU64::new(0)) }; KINDS];
+/// Frames and bytes sent by this process, by message kind.
+static SENT_BY_KIND: [(AtomicU64, AtomicU64); KIND_COUNT] =
+    [const { (AtomicU64::new(0), AtomicU64::new(0)) }; KIND_COUNT];
 
-fn kind(b: &Body) -> usize {
-    match b {
+fn message_kind(body: &Body) -> usize {
+    match body {
         Body::WatchRequest(_) => 0,
         Body::ViewUpdate(_) => 1,
         Body::Lease(_) => 2,
@@ -78,7 +78,8 @@
     }
 }
 
-/// What this process has sent to others so far: `kind=frames/bytes`, most first.
+/// Returns what this process has sent so far, formatted as `kind=frames/bytes`, in descending order
+/// of bytes.
 pub fn sent() -> String {
     let names = [
         "watch",
@@ -122,14 +123,18 @@
         "quota_response",
         "place",
     ];
-    let load = |n: usize| (SENT[n].1.load(Ordering::Relaxed), SENT[n].0.load(Ordering::Relaxed));
-    let mut all: Vec<(u64, u64, &str)> =
-        names.iter().enumerate().map(|(n, name)| (load(n).0, load(n).1, *name)).filter(|s| s.1 > 0).collect();
-    all.sort_unstable_by(|a, b| b.cmp(a));
-    all.iter().map(|(bytes, frames, name)| format!("{name}={frames}/{bytes}")).collect::<Vec<_>>().join(" ")
+    let bytes_and_frames =
+        |n: usize| (SENT_BY_KIND[n].1.load(Ordering::Relaxed), SENT_BY_KIND[n].0.load(Ordering::Relaxed));
+    let entry = |(n, name): (usize, &&'static str)| {
+        let (bytes, frames) = bytes_and_frames(n);
+        (bytes, frames, *name)
+    };
+    let mut kinds: Vec<(u64, u64, &str)> = names.iter().enumerate().map(entry).filter(|s| s.1 > 0).collect();
+    kinds.sort_unstable_by(|a, b| b.cmp(a));
+    kinds.iter().map(|(bytes, frames, name)| format!("{name}={frames}/{bytes}")).collect::<Vec<_>>().join(" ")
 }
 
-/// Takes one whole frame off the front, if there is one.
+/// Removes one complete frame from the front of the buffer, if there is one.
 pub fn take_frame(buf: &mut BytesMut) -> Result<Option<Envelope>, &'static str> {
     if buf.len() < 4 {
         return Ok(None);
@@ -146,48 +151,50 @@
     Envelope::decode(frame).map(Some).map_err(|_| "frame cannot be read")
 }
 
-pub fn tune(stream: &TcpStream, silence: Duration) {
+/// Disables Nagle's algorithm, and makes the kernel end the connection when the peer does not
+/// acknowledge data or keep-alive probes for about `peer_timeout`.
+pub fn tune(stream: &TcpStream, peer_timeout: Duration) {
     let _ = stream.set_nodelay(true);
     let sock = socket2::SockRef::from(stream);
-    let _ = sock.set_tcp_user_timeout(Some(silence));
-    let probe = (silence / 3).max(Duration::from_secs(1));
-    let _ = sock.set_tcp_keepalive(&socket2::TcpKeepalive::new().with_time(probe).with_interval(probe));
+    let _ = sock.set_tcp_user_timeout(Some(peer_timeout));
+    let interval = (peer_timeout / 3).max(Duration::from_secs(1));
+    let _ = sock.set_tcp_keepalive(&socket2::TcpKeepalive::new().with_time(interval).with_interval(interval));
 }
 
-/// Where replies to one connection are put; written in batches.
+/// The queue of replies on one connection; they are written in batches.
 #[derive(Clone)]
 pub struct FrameWriter(mpsc::UnboundedSender<Envelope>);
 
-/// The right to answer one call. Dropped unused, the caller waits in vain.
+/// Answers one call. If it is dropped without `send`, the caller gets no answer.
 pub struct Responder {
-    mouth: FrameWriter,
+    writer: FrameWriter,
     call: u64,
     connection: u64,
 }
 
 impl Responder {
-    /// Tells connections apart, for whoever wants to know when one has ended.
+    /// Returns the connection's number, which `serve_and_tell` passes to `ended`.
     pub fn connection(&self) -> u64 {
         self.connection
     }
 
     pub fn send(self, body: Body) {
         if self.call != 0 {
-            let _ = self.mouth.0.send(Envelope { call: self.call, reply: true, body: Some(body) });
+            let _ = self.writer.0.send(Envelope { call: self.call, reply: true, body: Some(body) });
         }
     }
 }
 
-/// Takes inner connections and hands every frame to `handle`.
-pub async fn serve<F>(listener: TcpListener, silence: Duration, handle: F)
+/// Accepts internal connections and passes each request to `handle`.
+pub async fn serve<F>(listener: TcpListener, peer_timeout: Duration, handle: F)
 where
     F: Fn(Body, Responder) + Send + Sync + 'static,
 {
-    serve_and_tell(listener, silence, handle, |_| ()).await;
+    serve_and_tell(listener, peer_timeout, handle, |_| ()).await;
 }
 
-/// As `serve`; `ended` is told when a connection has ended.
-pub async fn serve_and_tell<F, E>(listener: TcpListener, silence: Duration, handle: F, ended: E)
+/// As `serve`; calls `ended` with the number of each connection that has ended.
+pub async fn serve_and_tell<F, E>(listener: TcpListener, peer_timeout: Duration, handle: F, ended: E)
 where
     F: Fn(Body, Responder) + Send + Sync + 'static,
     E: Fn(u64) + Send + Sync + 'static,
@@ -199,40 +206,40 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        tune(&stream, silence);
+        tune(&stream, peer_timeout);
         connection += 1;
         let (handle, ended) = (handle.clone(), ended.clone());
         tokio::spawn(telemetry::contained(async move {
-            let _end = ConnectionEnd { connection, ended: &*ended };
-            read_all(stream, connection, &*handle).await;
+            let _notifier = DisconnectNotifier { connection, ended: &*ended };
+            read_requests(stream, connection, &*handle).await;
         }));
     }
 }
 
-/// Tells the end of a connection, however its task ends.
-struct ConnectionEnd<'a, E: Fn(u64)> {
+/// Reports the end of a connection on drop, also if its task panics.
+struct DisconnectNotifier<'a, E: Fn(u64)> {
     connection: u64,
     ended: &'a E,
 }
 
-impl<E: Fn(u64)> Drop for ConnectionEnd<'_, E> {
+impl<E: Fn(u64)> Drop for DisconnectNotifier<'_, E> {
     fn drop(&mut self) {
         (self.ended)(self.connection);
     }
 }
 
-async fn read_all(stream: TcpStream, connection: u64, handle: &(impl Fn(Body, Responder) + Send + Sync)) {
+async fn read_requests(stream: TcpStream, connection: u64, handle: &(impl Fn(Body, Responder) + Send + Sync)) {
     let (mut read, write) = stream.into_split();
     let (tx, rx) = mpsc::unbounded_channel();
-    let mouth = FrameWriter(tx);
-    tokio::spawn(write_all(write, rx));
+    let writer = FrameWriter(tx);
+    tokio::spawn(write_replies(write, rx));
     let mut buf = BytesMut::with_capacity(8 << 10);
     loop {
         loop {
             match take_frame(&mut buf) {
                 Ok(Some(e)) => {
                     if let Some(body) = e.body.filter(|_| !e.reply) {
-                        handle(body, Responder { mouth: mouth.clone(), call: e.call, connection });
+                        handle(body, Responder { writer: writer.clone(), call: e.call, connection });
                     }
                 }
                 Ok(None) => break,
@@ -250,7 +257,7 @@
     }
 }
 
-async fn write_all(mut write: tokio::net::tcp::OwnedWriteHalf, mut rx: mpsc::UnboundedReceiver<Envelope>) {
+async fn write_replies(mut write: tokio::net::tcp::OwnedWriteHalf, mut rx: mpsc::UnboundedReceiver<Envelope>) {
     let mut out = BytesMut::new();
     while let Some(e) = rx.recv().await {
         put_frame(&mut out, &e);
@@ -271,104 +278,115 @@
     let _ = write.shutdown().await;
 }
 
-/// A call that is waited for.
-struct Wait {
+/// A call that waits for its reply.
+struct PendingCall {
     tx: oneshot::Sender<Result<Body, ExecutionOutcome>>,
-    /// When its frame went to the network; until then it cannot have run.
+    /// When its frame was written; until then the call cannot have run.
     written: Option<Instant>,
 }
 
-impl Wait {
+impl PendingCall {
     fn fail(self) {
         let execution = if self.written.is_some() { ExecutionOutcome::MayHaveRun } else { ExecutionOutcome::NotRun };
         let _ = self.tx.send(Err(execution));
     }
 }
 
-type Waiting = Arc<Mutex<HashMap<u64, Wait>>>;
+type PendingCalls = Arc<Mutex<HashMap<u64, PendingCall>>>;
 
-struct Live {
+struct Connection {
     tx: mpsc::UnboundedSender<Envelope>,
-    waiting: Waiting,
-    /// When the other side was heard last.
-    heard: Arc<Mutex<Instant>>,
-    /// When a written call was last given up unanswered.
-    given_up: Option<Instant>,
+    pending: PendingCalls,
+    /// When data from the peer was last received.
+    last_received: Arc<Mutex<Instant>>,
+    /// When a written call last timed out without a reply.
+    timed_out: Option<Instant>,
 }
 
-/// The calling end of a connection to one address; connects when first used,
-/// and again after a failure.
+/// A client for one address. It connects on first use and reconnects after a failure.
 pub struct RpcClient {
     addr: String,
-    silence: Duration,
-    live: Mutex<Option<Live>>,
-    next: AtomicU64,
+    peer_timeout: Duration,
+    connection: Mutex<Option<Connection>>,
+    next_call: AtomicU64,
 }
 
 impl RpcClient {
-    pub fn new(addr: &str, silence: Duration) -> Arc<RpcClient> {
-        Arc::new(RpcClient { addr: addr.into(), silence, live: Mutex::new(None), next: AtomicU64::new(1) })
+    pub fn new(addr: &str, peer_timeout: Duration) -> Arc<RpcClient> {
+        Arc::new(RpcClient {
+            addr: addr.into(),
+            peer_timeout,
+            connection: Mutex::new(None),
+            next_call: AtomicU64::new(1),
+        })
     }
 
     pub fn addr(&self) -> &str {
         &self.addr
     }
 
-    /// Whether a call has gone unanswered for so long, with nothing else heard
-    /// meanwhile: the other side is dark, frozen or cut off. One that was given up
-    /// unanswered still says so for the bound after which the connection itself ends.
+    /// Returns whether a call has been without a reply for longer than `bound` and nothing else was
+    /// received in that time: the peer is down, hung or unreachable. A call that timed out keeps
+    /// counting for `peer_timeout`, after which the connection itself ends.
     pub fn stuck(&self, bound: Duration) -> bool {
-        let live = self.live.lock().unwrap();
-        let Some(l) = live.as_ref().filter(|l| !l.tx.is_closed()) else { return false };
-        let old = |at: Instant| at.elapsed() > bound;
-        let heard = *l.heard.lock().unwrap();
-        let given_up = l.given_up.is_some_and(|at| at > heard && at.elapsed() < self.silence);
-        old(heard) && (given_up || l.waiting.lock().unwrap().values().any(|w| w.written.is_some_and(old)))
+        let connection = self.connection.lock().unwrap();
+        let Some(conn) = connection.as_ref().filter(|conn| !conn.tx.is_closed()) else { return false };
+        let exceeds_bound = |at: Instant| at.elapsed() > bound;
+        let last_received = *conn.last_received.lock().unwrap();
+        let timed_out = conn.timed_out.is_some_and(|at| at > last_received && at.elapsed() < self.peer_timeout);
+        exceeds_bound(last_received)
+            && (timed_out || conn.pending.lock().unwrap().values().any(|w| w.written.is_some_and(exceeds_bound)))
     }
 
-    fn push(self: &Arc<Self>, envelope: Envelope, wait: Option<oneshot::Sender<Result<Body, ExecutionOutcome>>>) {
-        let mut live = self.live.lock().unwrap();
-        if live.as_ref().is_none_or(|l| l.tx.is_closed()) {
+    fn push(self: &Arc<Self>, envelope: Envelope, reply_tx: Option<oneshot::Sender<Result<Body, ExecutionOutcome>>>) {
+        let mut connection = self.connection.lock().unwrap();
+        if connection.as_ref().is_none_or(|conn| conn.tx.is_closed()) {
             let (tx, rx) = mpsc::unbounded_channel();
-            let waiting: Waiting = Arc::default();
-            let heard = Arc::new(Mutex::new(Instant::now()));
-            tokio::spawn(run(self.addr.clone(), self.silence, rx, waiting.clone(), heard.clone()));
-            *live = Some(Live { tx, waiting, heard, given_up: None });
+            let pending: PendingCalls = Arc::default();
+            let last_received = Arc::new(Mutex::new(Instant::now()));
+            tokio::spawn(run_connection(
+                self.addr.clone(),
+                self.peer_timeout,
+                rx,
+                pending.clone(),
+                last_received.clone(),
+            ));
+            *connection = Some(Connection { tx, pending, last_received, timed_out: None });
         }
-        let l = live.as_ref().expect("set above");
+        let conn = connection.as_ref().expect("set above");
         let call = envelope.call;
-        if let Some(tx) = wait {
-            l.waiting.lock().unwrap().insert(call, Wait { tx, written: None });
+        if let Some(tx) = reply_tx {
+            conn.pending.lock().unwrap().insert(call, PendingCall { tx, written: None });
         }
-        if l.tx.send(envelope).is_err()
-            && let Some(w) = l.waiting.lock().unwrap().remove(&call)
+        if conn.tx.send(envelope).is_err()
+            && let Some(w) = conn.pending.lock().unwrap().remove(&call)
         {
             w.fail();
         }
     }
 
-    /// Sends without wanting a reply.
+    /// Sends a message that has no reply.
     pub fn send(self: &Arc<Self>, body: Body) {
         self.push(Envelope { call: 0, reply: false, body: Some(body) }, None);
     }
 
-    /// Sends and waits for the reply; the error says whether it may have run.
+    /// Sends a request and waits for the reply; the error says whether the request may have run.
     pub async fn call(self: &Arc<Self>, body: Body, timeout: Duration) -> Result<Body, ExecutionOutcome> {
         let (tx, rx) = oneshot::channel();
-        let call = self.next.fetch_add(1, Ordering::Relaxed);
+        let call = self.next_call.fetch_add(1, Ordering::Relaxed);
         self.push(Envelope { call, reply: false, body: Some(body) }, Some(tx));
         match tokio::time::timeout(timeout, rx).await {
             Ok(Ok(r)) => r,
             Ok(Err(_)) => Err(ExecutionOutcome::MayHaveRun),
             Err(_) => {
-                // What nobody waits for any more is not written later.
-                let mut live = self.live.lock().unwrap();
-                let Some(l) = live.as_mut() else { return Err(ExecutionOutcome::MayHaveRun) };
-                let removed = l.waiting.lock().unwrap().remove(&call);
+                // Removing the call keeps a queued request from being written later.
+                let mut connection = self.connection.lock().unwrap();
+                let Some(conn) = connection.as_mut() else { return Err(ExecutionOutcome::MayHaveRun) };
+                let removed = conn.pending.lock().unwrap().remove(&call);
                 match removed {
-                    Some(Wait { written: None, .. }) => Err(ExecutionOutcome::NotRun),
+                    Some(PendingCall { written: None, .. }) => Err(ExecutionOutcome::NotRun),
                     Some(_) => {
-                        l.given_up = Some(Instant::now());
+                        conn.timed_out = Some(Instant::now());
                         Err(ExecutionOutcome::MayHaveRun)
                     }
                     None => Err(ExecutionOutcome::MayHaveRun),
@@ -378,22 +396,21 @@
     }
 }
 
-fn fail_all(waiting: &Waiting) {
-    for (_, w) in waiting.lock().unwrap().drain() {
+fn fail_pending(pending: &PendingCalls) {
+    for (_, w) in pending.lock().unwrap().drain() {
         w.fail();
     }
 }
 
-/// Puts a frame into the buffer that goes to the network next, unless it is a
-/// call that nobody waits for any more.
-fn put_wanted(out: &mut BytesMut, e: &Envelope, waiting: &Waiting) {
+/// Appends a frame to the write buffer, unless it is a call whose caller no longer waits.
+fn put_unless_abandoned(out: &mut BytesMut, e: &Envelope, pending: &PendingCalls) {
     if e.call != 0 {
-        let mut waiting = waiting.lock().unwrap();
-        match waiting.get_mut(&e.call) {
+        let mut pending = pending.lock().unwrap();
+        match pending.get_mut(&e.call) {
             Some(w) if !w.tx.is_closed() => w.written = Some(Instant::now()),
-            // Its caller has turned to something else, or the time was up.
+            // The caller dropped the call, or it timed out.
             _ => {
-                waiting.remove(&e.call);
+                pending.remove(&e.call);
                 return;
             }
         }
@@ -401,20 +418,20 @@
     put_frame(out, e);
 }
 
-/// Whether the machine at that address says that nobody listens there: silence is
-/// not that.
+/// Returns whether the machine at that address refuses the connection. A time-out does not count as
+/// a refusal.
 pub async fn refuses(addr: &str, within: Duration) -> bool {
     let tried = tokio::time::timeout(within, TcpStream::connect(addr)).await;
     matches!(tried, Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused)
 }
 
-/// Tries again in short steps while nobody answers: a machine that was dark for
-/// the first packet would else be noticed only when that is repeated, seconds
-/// later.
-async fn connect(addr: &str, silence: Duration) -> Option<TcpStream> {
-    let end = tokio::time::Instant::now() + silence;
-    while tokio::time::Instant::now() < end {
-        match tokio::time::timeout(silence / 8, TcpStream::connect(addr)).await {
+/// Connects, with several short attempts within `peer_timeout`. If the machine was unreachable when
+/// the first SYN was sent, a single attempt would succeed only when the kernel retransmits it,
+/// seconds later.
+async fn connect(addr: &str, peer_timeout: Duration) -> Option<TcpStream> {
+    let deadline = tokio::time::Instant::now() + peer_timeout;
+    while tokio::time::Instant::now() < deadline {
+        match tokio::time::timeout(peer_timeout / 8, TcpStream::connect(addr)).await {
             Ok(s) => return s.ok(),
             Err(_) => telemetry::count("connects_again"),
         }
@@ -422,21 +439,21 @@
     None
 }
 
-async fn run(
+async fn run_connection(
     addr: String,
-    silence: Duration,
+    peer_timeout: Duration,
     mut rx: mpsc::UnboundedReceiver<Envelope>,
-    waiting: Waiting,
-    heard: Arc<Mutex<Instant>>,
+    pending: PendingCalls,
+    last_received: Arc<Mutex<Instant>>,
 ) {
-    let Some(stream) = connect(&addr, silence).await else {
+    let Some(stream) = connect(&addr, peer_timeout).await else {
         rx.close();
-        fail_all(&waiting);
+        fail_pending(&pending);
         return;
     };
-    tune(&stream, silence);
+    tune(&stream, peer_timeout);
     let (mut read, mut write) = stream.into_split();
-    let incoming = waiting.clone();
+    let reader_pending = pending.clone();
     let reader = async move {
         let mut buf = BytesMut::with_capacity(8 << 10);
         loop {
@@ -445,11 +462,11 @@
                     telemetry::count("inner_answers_unwanted");
                     continue;
                 }
-                let w = incoming.lock().unwrap().remove(&e.call);
+                let w = reader_pending.lock().unwrap().remove(&e.call);
                 match (w, e.body) {
                     (Some(w), Some(b)) => drop(w.tx.send(Ok(b))),
                     (Some(w), None) => w.fail(),
-                    // The call was given up.
+                    // The call was dropped or timed out.
                     (None, _) => telemetry::count("inner_answers_unwanted"),
                 }
             }
@@ -457,16 +474,16 @@
             if read.read_buf(&mut buf).await? == 0 {
                 return Err::<(), io::Error>(io::ErrorKind::UnexpectedEof.into());
             }
-            *heard.lock().unwrap() = Instant::now();
+            *last_received.lock().unwrap() = Instant::now();
         }
     };
     let writer = async {
         let mut out = BytesMut::new();
         while let Some(e) = rx.recv().await {
-            put_wanted(&mut out, &e, &waiting);
+            put_unless_abandoned(&mut out, &e, &pending);
             while out.len() < 256 << 10 {
                 match rx.try_recv() {
-                    Ok(e) => put_wanted(&mut out, &e, &waiting),
+                    Ok(e) => put_unless_abandoned(&mut out, &e, &pending),
                     Err(_) => break,
                 }
             }
@@ -483,27 +500,27 @@
     };
     tokio::select! { _ = reader => {}, _ = writer => {} }
     rx.close();
-    fail_all(&waiting);
+    fail_pending(&pending);
 }
 
-/// The calling ends to all addresses in use.
+/// The clients for all addresses in use.
 pub struct RpcClients {
-    silence: Duration,
-    ends: Mutex<HashMap<String, Arc<RpcClient>>>,
+    peer_timeout: Duration,
+    clients: Mutex<HashMap<String, Arc<RpcClient>>>,
 }
 
 impl RpcClients {
-    pub fn new(silence: Duration) -> Arc<RpcClients> {
-        Arc::new(RpcClients { silence, ends: Mutex::default() })
+    pub fn new(peer_timeout: Duration) -> Arc<RpcClients> {
+        Arc::new(RpcClients { peer_timeout, clients: Mutex::default() })
     }
 
     pub fn to(&self, addr: &str) -> Arc<RpcClient> {
-        let mut ends = self.ends.lock().unwrap();
-        if let Some(t) = ends.get(addr) {
-            return t.clone();
+        let mut clients = self.clients.lock().unwrap();
+        if let Some(client) = clients.get(addr) {
+            return client.clone();
         }
-        let t = RpcClient::new(addr, self.silence);
-        ends.insert(addr.to_owned(), t.clone());
-        t
+        let client = RpcClient::new(addr, self.peer_timeout);
+        clients.insert(addr.to_owned(), client.clone());
+        client
     }
 }
