--- a/crates/rpc/src/delta.rs
+++ b/crates/rpc/src/delta.rs
@@ -1,5 +1,5 @@
-//! Assignments and membership as they are passed on: whole, or only what has changed
-//! since the version that the other has.
+//! Propagation of assignments and membership, either whole or as a delta against the version that
+//! the receiver has.
 
 use crate::messages::{Assignments, Gone, Membership, Node, Processor, ViewUpdate};
 use bytes::Bytes;
@@ -7,21 +7,21 @@
 use std::borrow::Cow;
 use std::collections::{HashMap, HashSet, VecDeque};
 
-/// So many removals are remembered for those that are behind.
-const REMEMBERED: usize = 256;
+/// Maximum number of removals kept for receivers that are behind.
+const MAX_REMOVALS: usize = 256;
 
-/// A membership from that size on is packed: links of two megabits a second take longer for it than
-/// a small processor does.
+/// A membership of this size or more is compressed: on links of 2 Mbit/s, sending it uncompressed
+/// takes longer than compressing it on a small processor.
 const PACKED_MEMBERSHIP_BYTES: usize = 32 << 10;
 
-/// For so many versions that others may have, what they lack is kept at hand.
+/// Maximum number of receivers' versions for which a prepared delta is cached.
 const PREPARED_VERSIONS: usize = 8;
 
-/// What is packed is never longer than this when it is whole again.
-const UNPACKED: usize = 4 << 20;
+/// Maximum size of compressed data after decompression.
+const MAX_UNPACKED_BYTES: usize = 4 << 20;
 
 impl ViewUpdate {
-    /// Puts in a whole configuration, packed if that is worth it.
+    /// Sets the whole configuration; compresses it from 4 KiB on.
     pub fn put_configuration(&mut self, json: Bytes) {
         if json.len() < 4096 {
             self.configuration = Some(json);
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Puts in a membership, packed if it is large.
+    /// Sets the membership; compresses it if it is large.
     pub fn put_membership(&mut self, membership: Membership) {
         if membership.encoded_len() < PACKED_MEMBERSHIP_BYTES {
             self.membership = Some(membership);
@@ -40,13 +40,14 @@
         }
     }
 
-    /// Takes over the membership of another answer, as it is.
+    /// Copies the membership of another update without decoding it.
     fn share_membership(&mut self, other: &ViewUpdate) {
         self.membership.clone_from(&other.membership);
         self.packed_membership = other.packed_membership.clone();
     }
 
-    /// The membership, if there is one, packed or not.
+    /// Returns the membership, decompressed if necessary; `None` if there is none or it cannot be
+    /// decoded.
     pub fn told_membership(&self) -> Option<Cow<'_, Membership>> {
         if self.packed_membership.is_empty() {
             return self.membership.as_ref().map(Cow::Borrowed);
@@ -55,7 +56,8 @@
         Membership::decode(bytes.as_slice()).ok().map(Cow::Owned)
     }
 
-    /// The whole configuration, if there is one.
+    /// Returns the whole configuration, decompressed if necessary; `None` if there is none or it
+    /// cannot be decompressed.
     pub fn whole_configuration(&self) -> Option<Bytes> {
         if self.packed.is_empty() {
             return self.configuration.clone();
@@ -64,46 +66,46 @@
     }
 }
 
-/// What those lack who have some version of a membership, made once for all who have the same: when
-/// it changes, hundreds ask at once.
+/// A cache of membership deltas by the receiver's version: when the membership changes, hundreds of
+/// processes request it at once, so a delta is made once for all that have the same version.
 #[derive(Default)]
 pub struct MembershipUpdates {
     version: u64,
-    /// By the version that is had.
+    /// Deltas with the receiver's version that each starts from, newest first.
     prepared: VecDeque<(u64, ViewUpdate)>,
 }
 
 impl MembershipUpdates {
-    /// Puts into an answer what one lacks of a membership who has version `have`.
-    pub fn put(&mut self, news: &mut ViewUpdate, membership: &Membership, have: u64) {
+    /// Sets in `update` the changes of `membership` since version `have`.
+    pub fn put(&mut self, update: &mut ViewUpdate, membership: &Membership, have: u64) {
         if self.version != membership.version {
             self.version = membership.version;
             self.prepared.clear();
         }
-        if !self.prepared.iter().any(|(of, _)| *of == have) {
-            let mut update = ViewUpdate::default();
-            update.put_membership(membership.since(have));
+        if !self.prepared.iter().any(|(base, _)| *base == have) {
+            let mut delta = ViewUpdate::default();
+            delta.put_membership(membership.since(have));
             self.prepared.truncate(PREPARED_VERSIONS - 1);
-            self.prepared.push_front((have, update));
+            self.prepared.push_front((have, delta));
         }
-        if let Some((_, update)) = self.prepared.iter().find(|(of, _)| *of == have) {
-            news.share_membership(update);
+        if let Some((_, delta)) = self.prepared.iter().find(|(base, _)| *base == have) {
+            update.share_membership(delta);
         }
     }
 }
 
-/// What was packed, if it is whole and not longer than anything that is.
+/// Decompresses `packed`; `None` if it is damaged or would exceed `MAX_UNPACKED_BYTES`.
 fn unpacked(packed: &[u8]) -> Option<Vec<u8>> {
     let size = packed.get(..4).and_then(|s| s.try_into().ok()).map_or(usize::MAX, |s| u32::from_le_bytes(s) as usize);
-    let whole = (size <= UNPACKED).then(|| lz4_flex::decompress_size_prepended(packed).ok()).flatten();
-    if whole.is_none() {
+    let bytes = (size <= MAX_UNPACKED_BYTES).then(|| lz4_flex::decompress_size_prepended(packed).ok()).flatten();
+    if bytes.is_none() {
         telemetry::count("news_not_unpacked");
     }
-    whole
+    bytes
 }
 
 impl Assignments {
-    /// What one that has version `have` lacks.
+    /// Returns the changes since version `have`, or everything if no delta is possible.
     pub fn since(&self, have: u64) -> Assignments {
         if have == 0 || have > self.version {
             return self.clone();
@@ -119,34 +121,33 @@
         }
     }
 
-    /// Takes what is newer; tells whether anything was. Changes since a version
-    /// that this one has not reached leave a gap, and are not taken.
-    pub fn take(&mut self, c: &Assignments) -> bool {
-        if c.version <= self.version || c.since > self.version {
+    /// Applies newer assignments, whole or a delta, and returns whether it did. A delta against a
+    /// version that is not reached yet would leave a gap and is rejected.
+    pub fn take(&mut self, update: &Assignments) -> bool {
+        if update.version <= self.version || update.since > self.version {
             return false;
         }
-        if c.since == 0 {
-            *self = c.clone();
+        if update.since == 0 {
+            *self = update.clone();
             return true;
         }
-        for p in &c.partitions {
+        for p in &update.partitions {
             match self.partitions.iter_mut().find(|x| x.id == p.id) {
                 Some(x) => x.clone_from(p),
                 None => self.partitions.push(p.clone()),
             }
         }
-        self.rollouts.clone_from(&c.rollouts);
-        self.retires.clone_from(&c.retires);
-        self.evacuations.clone_from(&c.evacuations);
-        self.version = c.version;
+        self.rollouts.clone_from(&update.rollouts);
+        self.retires.clone_from(&update.retires);
+        self.evacuations.clone_from(&update.evacuations);
+        self.version = update.version;
         true
     }
 }
 
-/// A leader's term stands in the upper bits of a membership's version: changes are
-/// counted within one leader's time only, as another one starts from what it
-/// happened to know.
-fn leader(version: u64) -> u64 {
+/// Returns the leader's term, which is in the upper bits of a membership's version. Deltas are valid
+/// within one term only, because a new leader starts from whatever membership it had received.
+fn leader_term(version: u64) -> u64 {
     version >> 24
 }
 
@@ -162,7 +163,7 @@
 }
 
 impl Membership {
-    /// Whether these are not the nodes and processors that it holds.
+    /// Returns whether these nodes and processors differ from the ones in this membership.
     pub fn differs(&self, nodes: &[&Node], processors: &[Processor], listed: bool) -> bool {
         self.listed != listed
             || self.nodes.len() != nodes.len()
@@ -171,49 +172,50 @@
             || !self.processors.iter().zip(processors).all(|(a, b)| same_processor(a, b))
     }
 
-    /// The leader's next version. Nodes come in order of their names, processors in
-    /// that of their ids.
+    /// Publishes the leader's next version. `nodes` must be sorted by name and `processors` by id.
     pub fn publish(&mut self, version: u64, nodes: &[&Node], processors: &[Processor], listed: bool) {
-        if leader(self.version) != leader(version) {
+        if leader_term(self.version) != leader_term(version) {
             self.gone.clear();
             self.from = version;
         }
         let old = std::mem::take(&mut self.nodes);
         let by_name: HashMap<&str, &Node> = old.iter().map(|n| (n.name.as_str(), n)).collect();
         for n in nodes {
-            let known = by_name.get(n.name.as_str()).filter(|o| same_node(o, n)).map_or(version, |o| o.changed);
-            self.nodes.push(Node { changed: known, ..(*n).clone() });
+            let changed = by_name.get(n.name.as_str()).filter(|o| same_node(o, n)).map_or(version, |o| o.changed);
+            self.nodes.push(Node { changed, ..(*n).clone() });
         }
-        let now: HashSet<&str> = nodes.iter().map(|n| n.name.as_str()).collect();
-        for o in old.iter().filter(|o| !now.contains(o.name.as_str())) {
+        let names: HashSet<&str> = nodes.iter().map(|n| n.name.as_str()).collect();
+        for o in old.iter().filter(|o| !names.contains(o.name.as_str())) {
             self.gone.push(Gone { name: o.name.clone(), processor: false, version });
         }
         let old = std::mem::take(&mut self.processors);
         let by_id: HashMap<&str, &Processor> = old.iter().map(|u| (u.id.as_str(), u)).collect();
         for u in processors {
-            let known = by_id.get(u.id.as_str()).filter(|o| same_processor(o, u)).map_or(version, |o| o.changed);
-            self.processors.push(Processor { changed: known, ..u.clone() });
+            let changed = by_id.get(u.id.as_str()).filter(|o| same_processor(o, u)).map_or(version, |o| o.changed);
+            self.processors.push(Processor { changed, ..u.clone() });
         }
-        let now: HashSet<&str> = processors.iter().map(|u| u.id.as_str()).collect();
-        for o in old.iter().filter(|o| !now.contains(o.id.as_str())) {
+        let ids: HashSet<&str> = processors.iter().map(|u| u.id.as_str()).collect();
+        for o in old.iter().filter(|o| !ids.contains(o.id.as_str())) {
             self.gone.push(Gone { name: o.id.clone(), processor: true, version });
         }
         self.version = version;
         self.listed = listed;
-        self.forget();
+        self.prune_removals();
     }
 
-    fn forget(&mut self) {
-        if self.gone.len() > REMEMBERED {
-            let cut = self.gone.len() - REMEMBERED;
+    /// Drops the oldest removals beyond `MAX_REMOVALS` and raises the version from which on they are
+    /// complete.
+    fn prune_removals(&mut self) {
+        if self.gone.len() > MAX_REMOVALS {
+            let cut = self.gone.len() - MAX_REMOVALS;
             self.from = self.from.max(self.gone[cut - 1].version);
             self.gone.drain(..cut);
         }
     }
 
-    /// What one that has version `have` lacks.
+    /// Returns the changes since version `have`, or everything if no delta is possible.
     pub fn since(&self, have: u64) -> Membership {
-        if have < self.from || have > self.version || leader(have) != leader(self.version) {
+        if have < self.from || have > self.version || leader_term(have) != leader_term(self.version) {
             return Membership { gone: Vec::new(), from: 0, ..self.clone() };
         }
         Membership {
@@ -227,49 +229,50 @@
         }
     }
 
-    /// Takes what is newer; tells whether anything was.
-    pub fn take(&mut self, r: &Membership) -> bool {
-        if r.version <= self.version {
+    /// Applies a newer membership, whole or a delta, and returns whether it did. A delta against a
+    /// version that is not reached yet, or of another leader's term, is rejected.
+    pub fn take(&mut self, update: &Membership) -> bool {
+        if update.version <= self.version {
             return false;
         }
-        if r.since == 0 {
+        if update.since == 0 {
             let processors = std::mem::take(&mut self.processors);
             let listed = self.listed;
-            *self = Membership { gone: Vec::new(), from: r.version, ..r.clone() };
-            if !r.listed && listed {
-                // From a leader that could not ask the platform yet: that is no
-                // news of processors.
+            *self = Membership { gone: Vec::new(), from: update.version, ..update.clone() };
+            if !update.listed && listed {
+                // The leader could not query the platform yet, so its update says nothing about
+                // processors.
                 self.processors = processors;
                 self.listed = true;
             }
             return true;
         }
-        if r.since > self.version || leader(r.since) != leader(self.version) {
+        if update.since > self.version || leader_term(update.since) != leader_term(self.version) {
             return false;
         }
-        for g in &r.gone {
+        for g in &update.gone {
             if g.processor {
                 self.processors.retain(|u| u.id != g.name || u.changed > g.version);
             } else {
                 self.nodes.retain(|n| n.name != g.name || n.changed > g.version);
             }
         }
-        for n in &r.nodes {
+        for n in &update.nodes {
             match self.nodes.binary_search_by(|x| x.name.cmp(&n.name)) {
                 Ok(at) => self.nodes[at] = n.clone(),
                 Err(at) => self.nodes.insert(at, n.clone()),
             }
         }
-        for u in &r.processors {
+        for u in &update.processors {
             match self.processors.binary_search_by(|x| x.id.cmp(&u.id)) {
                 Ok(at) => self.processors[at] = u.clone(),
                 Err(at) => self.processors.insert(at, u.clone()),
             }
         }
-        self.gone.extend(r.gone.iter().filter(|g| g.version > self.version).cloned());
-        self.version = r.version;
-        self.listed |= r.listed;
-        self.forget();
+        self.gone.extend(update.gone.iter().filter(|g| g.version > self.version).cloned());
+        self.version = update.version;
+        self.listed |= update.listed;
+        self.prune_removals();
         true
     }
 }
