--- a/crates/rpc/tests/outcome.rs
+++ b/crates/rpc/tests/outcome.rs
@@ -1,11 +1,11 @@
-//! The whole table of what is sent again after a send that missed its answer.
+//! Checks the complete retry table for requests without a usable answer.
 
 use rpc::{DeliveryFailure, ExecutionOutcome, RetryOwner, RetrySafety};
 
 #[test]
 fn each_class_of_request_is_sent_again_as_the_table_says() {
     use RetryOwner::*;
-    let gaps = [
+    let failures = [
         DeliveryFailure::NotSent,
         DeliveryFailure::Refused,
         DeliveryFailure::Busy,
@@ -20,14 +20,17 @@
         (RetrySafety::Unsafe, [Front, Front, Front, Nobody, Nobody]),
     ];
     for (class, row) in table {
-        for (gap, wanted) in gaps.into_iter().zip(row) {
-            let again = gap.again(class);
-            assert_eq!(again, wanted, "{class:?} {gap:?}");
-            let may = gap.execution() == ExecutionOutcome::MayHaveRun;
-            assert!(!(may && class == RetrySafety::Unsafe && again != Nobody), "at most once");
-            assert!(may || again != Nobody, "what did not run is not given up for that");
-            assert!(!(may && again == Owner), "never at once beside one that may be at work");
+        for (failure, expected) in failures.into_iter().zip(row) {
+            let owner = failure.again(class);
+            assert_eq!(owner, expected, "{class:?} {failure:?}");
+            let may_have_run = failure.execution() == ExecutionOutcome::MayHaveRun;
+            assert!(
+                !(may_have_run && class == RetrySafety::Unsafe && owner != Nobody),
+                "an unsafe request may run twice"
+            );
+            assert!(may_have_run || owner != Nobody, "a request that did not run must be retried");
+            assert!(!(may_have_run && owner == Owner), "an immediate retry may overlap with the first attempt");
         }
     }
-    assert!(gaps.iter().all(|g| g.execution() != ExecutionOutcome::Ran));
+    assert!(failures.iter().all(|failure| failure.execution() != ExecutionOutcome::Ran));
 }
