--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -153,7 +153,7 @@
 
 /// Disables Nagle's algorithm, and makes the kernel end the connection when the peer does not
 /// acknowledge data or keep-alive probes for about `peer_timeout`.
-pub fn tune(stream: &TcpStream, peer_timeout: Duration) {
+pub fn configure_socket(stream: &TcpStream, peer_timeout: Duration) {
     let _ = stream.set_nodelay(true);
     let sock = socket2::SockRef::from(stream);
     let _ = sock.set_tcp_user_timeout(Some(peer_timeout));
@@ -206,7 +206,7 @@
             tokio::time::sleep(Duration::from_millis(20)).await;
             continue;
         };
-        tune(&stream, peer_timeout);
+        configure_socket(&stream, peer_timeout);
         connection += 1;
         let (handle, ended) = (handle.clone(), ended.clone());
         tokio::spawn(telemetry::contained(async move {
@@ -451,7 +451,7 @@
         fail_pending(&pending);
         return;
     };
-    tune(&stream, peer_timeout);
+    configure_socket(&stream, peer_timeout);
     let (mut read, mut write) = stream.into_split();
     let reader_pending = pending.clone();
     let reader = async move {
