--- a/crates/agent/src/feed.rs
+++ b/crates/agent/src/feed.rs
@@ -124,6 +124,6 @@
     // The front may drain for as long as it is allowed to; it is fed until then. Whether the node
     // leaves is the front's to say: it may go on while its agent alone is started again.
     tokio::time::sleep(Duration::from_millis((settings.constraints.grace_s * 750.0) as u64)).await;
-    telemetry::report(&settings.node, &rpc::sent());
+    telemetry::report(&settings.node, &rpc::sent_frame_stats());
     Ok(())
 }
--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -451,7 +451,7 @@
                 }
             }
             if rounds.is_multiple_of(300) {
-                telemetry::report(&s.settings.node, &rpc::sent());
+                telemetry::report(&s.settings.node, &rpc::sent_frame_stats());
             }
         }
     });
@@ -459,6 +459,6 @@
     let _ = close.send(http1::Closing::Draining);
     control.leave().await;
     tokio::time::sleep(Duration::from_millis(control.ratio(16.0))).await;
-    telemetry::report(&settings.node, &rpc::sent());
+    telemetry::report(&settings.node, &rpc::sent_frame_stats());
     Ok(())
 }
--- a/crates/front/src/ingest.rs
+++ b/crates/front/src/ingest.rs
@@ -144,7 +144,7 @@
             rounds += 1;
             swept.sweep();
             if rounds.is_multiple_of(30) {
-                telemetry::report(&name, &rpc::sent());
+                telemetry::report(&name, &rpc::sent_frame_stats());
             }
         }
     });
@@ -152,6 +152,6 @@
     telemetry::change!("draining");
     let grace = Duration::from_millis((settings.constraints.grace_s * 1000.0) as u64);
     http1::end_in_order(&front.closing, grace, silence_limit / 10, || worker.is_idle()).await;
-    telemetry::report(&settings.node, &rpc::sent());
+    telemetry::report(&settings.node, &rpc::sent_frame_stats());
     Ok(())
 }
--- a/crates/functions/src/gateway.rs
+++ b/crates/functions/src/gateway.rs
@@ -126,7 +126,7 @@
                 self.pool.sweep(|_| true);
             }
             if rounds.is_multiple_of(400) {
-                telemetry::report(&self.settings.node, &rpc::sent());
+                telemetry::report(&self.settings.node, &rpc::sent_frame_stats());
             }
         }
     }
@@ -215,6 +215,6 @@
     telemetry::change!("draining");
     let grace = Duration::from_millis((settings.constraints.grace_s * 1000.0) as u64);
     http1::end_in_order(&gateway.closing, grace, silence / 10, || true).await;
-    telemetry::report(&settings.node, &rpc::sent());
+    telemetry::report(&settings.node, &rpc::sent_frame_stats());
     Ok(())
 }
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -90,7 +90,7 @@
             rounds += 1;
             self.pool.sweep(|_| true);
             if rounds.is_multiple_of(REPORT_EVERY) {
-                telemetry::report(&self.settings.node, &rpc::sent());
+                telemetry::report(&self.settings.node, &rpc::sent_frame_stats());
             }
         }
     }
@@ -143,6 +143,6 @@
     telemetry::change!("draining");
     let grace = Duration::from_millis((settings.constraints.grace_s * 1000.0) as u64);
     http1::end_in_order(&gateway.closing, grace, silence / 10, || true).await;
-    telemetry::report(&settings.node, &rpc::sent());
+    telemetry::report(&settings.node, &rpc::sent_frame_stats());
     Ok(())
 }
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -80,7 +80,7 @@
 
 /// Returns what this process has sent so far, formatted as `kind=frames/bytes`, in descending order
 /// of bytes.
-pub fn sent() -> String {
+pub fn sent_frame_stats() -> String {
     let names = [
         "watch",
         "news",
--- a/crates/store/src/service.rs
+++ b/crates/store/src/service.rs
@@ -339,7 +339,7 @@
     });
     let _ = stop.wait_for(|s| *s).await;
     service.clone().shut_down().await;
-    telemetry::report(&settings.node, &rpc::sent());
+    telemetry::report(&settings.node, &rpc::sent_frame_stats());
     Ok(())
 }
 
--- a/crates/store/src/service/duties.rs
+++ b/crates/store/src/service/duties.rs
@@ -74,7 +74,7 @@
         let corrections = state.replicas.values().map(|replica| replica.correction_ms(now).unsigned_abs());
         telemetry::set("partition_time_correction_ms", corrections.max().unwrap_or(0));
         if rounds.is_multiple_of(300) {
-            telemetry::report(&self.settings.node, &rpc::sent());
+            telemetry::report(&self.settings.node, &rpc::sent_frame_stats());
         }
     }
 
