--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -420,7 +420,7 @@
         let control = e.clone();
         tokio::spawn(async move { control.connection_ended(connection).await });
     };
-    tokio::spawn(rpc::serve_and_tell(listener, silence, move |b, p| s.handle(b, p), ended));
+    tokio::spawn(rpc::serve_with_disconnect_hook(listener, silence, move |b, p| s.handle(b, p), ended));
     tokio::spawn(control.clone().publish());
     tokio::spawn(control.clone().follow(settings_updates.clone()));
     if settings.runs_functions() {
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -173,7 +173,7 @@
 }
 
 impl Responder {
-    /// Returns the connection's number, which `serve_and_tell` passes to `ended`.
+    /// Returns the connection's number, which `serve_with_disconnect_hook` passes to `ended`.
     pub fn connection(&self) -> u64 {
         self.connection
     }
@@ -190,11 +190,11 @@
 where
     F: Fn(Body, Responder) + Send + Sync + 'static,
 {
-    serve_and_tell(listener, peer_timeout, handle, |_| ()).await;
+    serve_with_disconnect_hook(listener, peer_timeout, handle, |_| ()).await;
 }
 
 /// As `serve`; calls `ended` with the number of each connection that has ended.
-pub async fn serve_and_tell<F, E>(listener: TcpListener, peer_timeout: Duration, handle: F, ended: E)
+pub async fn serve_with_disconnect_hook<F, E>(listener: TcpListener, peer_timeout: Duration, handle: F, ended: E)
 where
     F: Fn(Body, Responder) + Send + Sync + 'static,
     E: Fn(u64) + Send + Sync + 'static,
--- a/crates/rpc/tests/connections.rs
+++ b/crates/rpc/tests/connections.rs
@@ -25,7 +25,7 @@
     let on_disconnect = move |_| {
         count.fetch_add(1, Ordering::Relaxed);
     };
-    tokio::spawn(rpc::serve_and_tell(listener, PEER_TIMEOUT, handle, on_disconnect));
+    tokio::spawn(rpc::serve_with_disconnect_hook(listener, PEER_TIMEOUT, handle, on_disconnect));
     (addr, ended)
 }
 
@@ -115,7 +115,7 @@
     let first = Body::Lookup(Lookup { position: 1, ..Lookup::default() });
     let abandoned = client.call(first, Duration::from_millis(100)).await;
     assert_eq!(abandoned.err(), Some(ExecutionOutcome::NotRun));
-    tokio::spawn(rpc::serve_and_tell(listener, PEER_TIMEOUT, handle, |_| ()));
+    tokio::spawn(rpc::serve_with_disconnect_hook(listener, PEER_TIMEOUT, handle, |_| ()));
     // The next call on the same connection arrives; the abandoned one never does.
     let next = client.call(Body::Lookup(Lookup { position: 2, ..Lookup::default() }), PEER_TIMEOUT).await;
     assert!(matches!(next, Ok(Body::Found(f)) if f.result_tag == "2"));
