--- a/crates/control/src/service.rs
+++ b/crates/control/src/service.rs
@@ -236,7 +236,7 @@
                 let _ = self.inputs.send(Input::RaftNode(m));
             }
             Body::Lease(l) => {
-                let ack = self.lease(l, responder.connection());
+                let ack = self.lease(l, responder.connection_id());
                 responder.send(Body::LeaseAck(ack));
             }
             Body::WatchRequest(w) => {
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -174,7 +174,7 @@
 
 impl Responder {
     /// Returns the connection's number, which `serve_with_disconnect_hook` passes to `ended`.
-    pub fn connection(&self) -> u64 {
+    pub fn connection_id(&self) -> u64 {
         self.connection
     }
 
