--- a/crates/front/src/owner_calls.rs
+++ b/crates/front/src/owner_calls.rs
@@ -106,7 +106,7 @@
             return OwnerAnswer::NotSent;
         };
         let client = self.front.rpc_clients.to(&address);
-        if client.stuck(self.front.owner_timeout()) {
+        if client.is_unresponsive(self.front.owner_timeout()) {
             // No call is sent to an unresponsive owner, since its outcome would be unclear.
             if !is_unclear && self.front.no_store_answers(&view) {
                 return OwnerAnswer::NoStoreAnswers;
@@ -156,6 +156,7 @@
     /// Whether all store nodes are unresponsive.
     fn no_store_answers(&self, view: &ClusterView) -> bool {
         let mut stores = view.membership.nodes.iter().filter(|node| node.role == "store").peekable();
-        stores.peek().is_some() && stores.all(|node| self.rpc_clients.to(&node.inner).stuck(self.owner_timeout()))
+        stores.peek().is_some()
+            && stores.all(|node| self.rpc_clients.to(&node.inner).is_unresponsive(self.owner_timeout()))
     }
 }
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -328,7 +328,7 @@
     /// Returns whether a call has been without a reply for longer than `bound` and nothing else was
     /// received in that time: the peer is down, hung or unreachable. A call that timed out keeps
     /// counting for `peer_timeout`, after which the connection itself ends.
-    pub fn stuck(&self, bound: Duration) -> bool {
+    pub fn is_unresponsive(&self, bound: Duration) -> bool {
         let connection = self.connection.lock().unwrap();
         let Some(conn) = connection.as_ref().filter(|conn| !conn.tx.is_closed()) else { return false };
         let exceeds_bound = |at: Instant| at.elapsed() > bound;
--- a/crates/rpc/tests/connections.rs
+++ b/crates/rpc/tests/connections.rs
@@ -128,16 +128,16 @@
     let client = RpcClient::new(&addr, PEER_TIMEOUT);
     let bound = Duration::from_millis(100);
     let l = Body::Lookup(Lookup::default());
-    assert!(client.call(l.clone(), PEER_TIMEOUT).await.is_ok() && !client.stuck(bound));
+    assert!(client.call(l.clone(), PEER_TIMEOUT).await.is_ok() && !client.is_unresponsive(bound));
     // The request was written and not answered, so it may have run.
     let unanswered = tokio::spawn({
         let client = client.clone();
         async move { client.call(Body::Gossip(Gossip::default()), Duration::from_millis(400)).await }
     });
     tokio::time::sleep(Duration::from_millis(200)).await;
-    assert!(client.stuck(bound));
+    assert!(client.is_unresponsive(bound));
     // Any reply shows that the peer is alive.
-    assert!(client.call(l, PEER_TIMEOUT).await.is_ok() && !client.stuck(bound));
+    assert!(client.call(l, PEER_TIMEOUT).await.is_ok() && !client.is_unresponsive(bound));
     assert_eq!(unanswered.await.expect("no panic").err(), Some(ExecutionOutcome::MayHaveRun));
 }
 
@@ -147,11 +147,14 @@
     let client = RpcClient::new(&addr, PEER_TIMEOUT);
     let bound = Duration::from_millis(20);
     let l = Body::Lookup(Lookup::default());
-    assert!(client.call(l.clone(), PEER_TIMEOUT).await.is_ok() && !client.stuck(bound));
+    assert!(client.call(l.clone(), PEER_TIMEOUT).await.is_ok() && !client.is_unresponsive(bound));
     let abandoned = client.call(Body::Gossip(Gossip::default()), Duration::from_millis(100)).await;
     assert_eq!(abandoned.err(), Some(ExecutionOutcome::MayHaveRun));
-    assert!(client.stuck(bound), "the call timed out and nothing was received since");
-    assert!(client.call(l, PEER_TIMEOUT).await.is_ok() && !client.stuck(bound), "a reply must clear the state");
+    assert!(client.is_unresponsive(bound), "the call timed out and nothing was received since");
+    assert!(
+        client.call(l, PEER_TIMEOUT).await.is_ok() && !client.is_unresponsive(bound),
+        "a reply must clear the state"
+    );
 }
 
 /// Starts a peer that reads `request_len` bytes, sends `reply`, and resets the connection.
