--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -67,7 +67,7 @@
         });
         let Some((name, incarnation, inner)) = found else { return };
         let wait = Duration::from_millis(self.settings.lease_ms());
-        if rpc::refuses(&inner, wait).await {
+        if rpc::refuses_connections(&inner, wait).await {
             let now = self.now();
             let must_reassign = self.with(|f| {
                 let same = f.leases.get(&name).is_some_and(|l| l.incarnation == incarnation);
--- a/crates/proxy/src/send.rs
+++ b/crates/proxy/src/send.rs
@@ -102,7 +102,7 @@
         // Only a refused connection shows that the processor is gone, as packets of a healthy one
         // can be lost.
         Err(SendError::NotSent) => {
-            SendOutcome::NotSent { is_gone: rpc::refuses(&target.address, rules.probe_timeout).await }
+            SendOutcome::NotSent { is_gone: rpc::refuses_connections(&target.address, rules.probe_timeout).await }
         }
         Err(SendError::Lost) => SendOutcome::Lost,
         Err(SendError::Silent) => SendOutcome::TimedOut,
--- a/crates/rpc/src/connection.rs
+++ b/crates/rpc/src/connection.rs
@@ -420,7 +420,7 @@
 
 /// Returns whether the machine at that address refuses the connection. A time-out does not count as
 /// a refusal.
-pub async fn refuses(addr: &str, within: Duration) -> bool {
+pub async fn refuses_connections(addr: &str, within: Duration) -> bool {
     let tried = tokio::time::timeout(within, TcpStream::connect(addr)).await;
     matches!(tried, Ok(Err(e)) if e.kind() == io::ErrorKind::ConnectionRefused)
 }
--- a/crates/rpc/tests/connections.rs
+++ b/crates/rpc/tests/connections.rs
@@ -214,9 +214,9 @@
     let wait = std::time::Duration::from_millis(300);
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let addr = listener.local_addr().expect("an address").to_string();
-    assert!(!rpc::refuses(&addr, wait).await, "there is a listener");
+    assert!(!rpc::refuses_connections(&addr, wait).await, "there is a listener");
     drop(listener);
-    assert!(rpc::refuses(&addr, wait).await);
+    assert!(rpc::refuses_connections(&addr, wait).await);
     // With a full accept queue the connection attempt times out instead of being refused.
     let socket = tokio::net::TcpSocket::new_v4().expect("a socket");
     socket.bind("127.0.0.1:0".parse().expect("an address")).expect("bound");
@@ -228,7 +228,7 @@
             held.push(s);
         }
     }
-    assert!(!rpc::refuses(&addr, wait).await);
+    assert!(!rpc::refuses_connections(&addr, wait).await);
 }
 
 #[tokio::test(flavor = "current_thread")]
--- a/crates/store/src/service/dispatch.rs
+++ b/crates/store/src/service/dispatch.rs
@@ -239,7 +239,7 @@
                         Err(_) => {}
                     }
                 }
-                if !is_revoked && !rpc::refuses(&target.front_inner, wait).await {
+                if !is_revoked && !rpc::refuses_connections(&target.front_inner, wait).await {
                     // No answer still: the attempt becomes overdue once it must have ended.
                     return;
                 }
--- a/crates/store/src/service/recovery.rs
+++ b/crates/store/src/service/recovery.rs
@@ -42,7 +42,7 @@
                     }
                     // A refused connection shows that the process, and with it its attempts, has
                     // ended. A node that is cut off from the network gives no such sign.
-                    rpc::refuses(&front.inner, wait).await.then(Vec::new)
+                    rpc::refuses_connections(&front.inner, wait).await.then(Vec::new)
                 }),
             ));
         }
