--- a/crates/agent/src/identity.rs
+++ b/crates/agent/src/identity.rs
@@ -4,8 +4,8 @@
 //! a node that leaves does so for the rest of an incarnation, and each start of the process that
 //! it stands for is another incarnation, so that no start inherits what the former one has told.
 
-use rpc::after;
 use rpc::messages::Node;
+use rpc::next_incarnation;
 
 /// How far a node is on its way out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     /// The service process beside this one tells its incarnation, and whether it is about to end.
     pub fn service_told(&mut self, incarnation: u64, is_leaving: bool) {
         if self.service.is_some_and(|former| former != incarnation) {
-            self.node.incarnation = after(self.node.incarnation);
+            self.node.incarnation = next_incarnation(self.node.incarnation);
             telemetry::count("service_restarts");
             telemetry::change!("the process beside this one was started again: incarnation {}", self.node.incarnation);
             if self.phase == Phase::ServiceLeaving {
@@ -64,7 +64,7 @@
         if known < self.node.incarnation {
             return None;
         }
-        self.node.incarnation = after(known);
+        self.node.incarnation = next_incarnation(known);
         Some(self.node.incarnation)
     }
 
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -4,7 +4,7 @@
 use crate::service::*;
 use config::Settings;
 use rpc::messages::*;
-use rpc::{after, possible};
+use rpc::{next_incarnation, possible};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -384,7 +384,7 @@
                     }
                     if n.newer_incarnation >= self.incarnation.load(Ordering::Relaxed) && possible(n.newer_incarnation)
                     {
-                        self.incarnation.store(after(n.newer_incarnation), Ordering::Relaxed);
+                        self.incarnation.store(next_incarnation(n.newer_incarnation), Ordering::Relaxed);
                         let own = self.node();
                         f.sessions.insert(own.name.clone(), Session { node: own, seen: u64::MAX / 2 });
                     }
--- a/crates/control/tests/clocks.rs
+++ b/crates/control/tests/clocks.rs
@@ -1,7 +1,7 @@
 //! Steps of wall clocks: the cluster time, and incarnations that started with a wrong clock.
 
 use control::{ClockOff, ClusterClock};
-use rpc::{CLUSTER_SLEW_PPM, after, new_incarnation, possible};
+use rpc::{CLUSTER_SLEW_PPM, new_incarnation, next_incarnation, possible};
 
 const TRUE_TIME_MS: u64 = 1_790_000_000_000;
 const TOLERANCE_MS: u64 = 50;
@@ -125,6 +125,6 @@
     assert_ne!(a, b, "two starts in one millisecond are two incarnations");
     // A process that learns of an incarnation from a fast clock chooses a later one.
     let ahead = a + (86_400_000 << 20);
-    assert!(after(ahead) > ahead && possible(after(ahead)));
+    assert!(next_incarnation(ahead) > ahead && possible(next_incarnation(ahead)));
     assert!(!possible(u64::MAX), "an implausible incarnation is not accepted");
 }
--- a/crates/control/tests/sessions.rs
+++ b/crates/control/tests/sessions.rs
@@ -213,7 +213,7 @@
     b.node.incarnation = 20;
     let ack = b.report_disk(&now, 0).await;
     assert!(!ack.granted && ack.newer_incarnation == 50, "no lease, but the known incarnation");
-    b.node.incarnation = rpc::after(ack.newer_incarnation);
+    b.node.incarnation = rpc::next_incarnation(ack.newer_incarnation);
     assert!(b.renew_lease(&now).await);
     // Neither a delayed message of the earlier incarnation nor an implausible one is accepted.
     b.node.incarnation = 20;
--- a/crates/partition/src/record.rs
+++ b/crates/partition/src/record.rs
@@ -55,8 +55,11 @@
     /// Records a process start and returns its incarnation, which is greater than every earlier
     /// incarnation on this disk.
     pub fn begin_incarnation(&mut self, incarnation: u64) -> u64 {
-        let incarnation =
-            if incarnation > self.last_incarnation { incarnation } else { rpc::after(self.last_incarnation) };
+        let incarnation = if incarnation > self.last_incarnation {
+            incarnation
+        } else {
+            rpc::next_incarnation(self.last_incarnation)
+        };
         if self.empty {
             self.first_incarnation = incarnation;
         }
