--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -2,7 +2,7 @@
 use bytes::Bytes;
 use config::{Configuration, ConfigurationDocument, ConfigurationIndex, Freshness, Role, Settings, placement_hash};
 use rpc::messages::*;
-use rpc::{Body, CarriedTime, RpcClients, possible};
+use rpc::{Body, CarriedTime, RpcClients, is_valid_incarnation};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
@@ -235,7 +235,7 @@
 
     /// An incarnation of this node is known that comes after its own: begins another.
     pub fn relive(&self, newer_incarnation: u64) -> Option<u64> {
-        if !possible(newer_incarnation) {
+        if !is_valid_incarnation(newer_incarnation) {
             return None;
         }
         let incarnation = self.identity.lock().unwrap().begin_after(newer_incarnation)?;
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -4,7 +4,7 @@
 use crate::service::*;
 use config::Settings;
 use rpc::messages::*;
-use rpc::{next_incarnation, possible};
+use rpc::{is_valid_incarnation, next_incarnation};
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
 use std::time::{Duration, Instant};
@@ -88,7 +88,7 @@
         let now = self.now();
         let leader = self.leader();
         self.with(|f| {
-            if !f.has_authority(now) || !possible(l.node.incarnation) {
+            if !f.has_authority(now) || !is_valid_incarnation(l.node.incarnation) {
                 return LeaseAck { leader, ..LeaseAck::default() };
             }
             f.cluster_clock.record_reading(&l.node.name, l.clock_ms, now);
@@ -249,7 +249,7 @@
                 // without them.
                 f.publish_from = f.leader_since + self.ratio(4.0);
             }
-            for n in w.node.iter().chain(&w.sessions).filter(|n| possible(n.incarnation)) {
+            for n in w.node.iter().chain(&w.sessions).filter(|n| is_valid_incarnation(n.incarnation)) {
                 changed |= f.update_session(n, now);
             }
             if changed {
@@ -382,7 +382,8 @@
                     if let Some(shown_at) = age.and_then(|age| asked_at.checked_sub(age)) {
                         f.freshness.shown(n.have.configuration, shown_at, f.control_state.revision);
                     }
-                    if n.newer_incarnation >= self.incarnation.load(Ordering::Relaxed) && possible(n.newer_incarnation)
+                    if n.newer_incarnation >= self.incarnation.load(Ordering::Relaxed)
+                        && is_valid_incarnation(n.newer_incarnation)
                     {
                         self.incarnation.store(next_incarnation(n.newer_incarnation), Ordering::Relaxed);
                         let own = self.node();
--- a/crates/control/tests/clocks.rs
+++ b/crates/control/tests/clocks.rs
@@ -1,7 +1,7 @@
 //! Steps of wall clocks: the cluster time, and incarnations that started with a wrong clock.
 
 use control::{ClockOff, ClusterClock};
-use rpc::{CLUSTER_SLEW_PPM, new_incarnation, next_incarnation, possible};
+use rpc::{CLUSTER_SLEW_PPM, is_valid_incarnation, new_incarnation, next_incarnation};
 
 const TRUE_TIME_MS: u64 = 1_790_000_000_000;
 const TOLERANCE_MS: u64 = 50;
@@ -121,10 +121,10 @@
 #[test]
 fn incarnations_are_ordered_whatever_the_clock_did() {
     let (a, b) = (new_incarnation(), new_incarnation());
-    assert!(possible(a) && possible(b));
+    assert!(is_valid_incarnation(a) && is_valid_incarnation(b));
     assert_ne!(a, b, "two starts in one millisecond are two incarnations");
     // A process that learns of an incarnation from a fast clock chooses a later one.
     let ahead = a + (86_400_000 << 20);
-    assert!(next_incarnation(ahead) > ahead && possible(next_incarnation(ahead)));
-    assert!(!possible(u64::MAX), "an implausible incarnation is not accepted");
+    assert!(next_incarnation(ahead) > ahead && is_valid_incarnation(next_incarnation(ahead)));
+    assert!(!is_valid_incarnation(u64::MAX), "an implausible incarnation is not accepted");
 }
--- a/crates/rpc/src/incarnation.rs
+++ b/crates/rpc/src/incarnation.rs
@@ -21,7 +21,7 @@
 }
 
 /// Returns whether `incarnation` is in the valid range; counts the ones that are not.
-pub fn possible(incarnation: u64) -> bool {
+pub fn is_valid_incarnation(incarnation: u64) -> bool {
     if incarnation >= INCARNATION_LIMIT {
         telemetry::count("incarnations_impossible");
     }
