--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -49,7 +49,7 @@
         {
             moved |= Arc::make_mut(&mut self.assignments).take(c);
         }
-        if let Some(r) = news.told_membership()
+        if let Some(r) = news.decoded_membership()
             && r.version > self.membership.version
         {
             moved |= Arc::make_mut(&mut self.membership).take(&r);
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -390,7 +390,7 @@
                         f.sessions.insert(own.name.clone(), Session { node: own, seen: u64::MAX / 2 });
                     }
                     f.unidentified.set_leader_list(n.unidentified.clone());
-                    if let Some(r) = n.told_membership()
+                    if let Some(r) = n.decoded_membership()
                         && f.membership.take(&r)
                     {
                         if !f.functions {
--- a/crates/rpc/src/delta.rs
+++ b/crates/rpc/src/delta.rs
@@ -48,7 +48,7 @@
 
     /// Returns the membership, decompressed if necessary; `None` if there is none or it cannot be
     /// decoded.
-    pub fn told_membership(&self) -> Option<Cow<'_, Membership>> {
+    pub fn decoded_membership(&self) -> Option<Cow<'_, Membership>> {
         if self.packed_membership.is_empty() {
             return self.membership.as_ref().map(Cow::Borrowed);
         }
--- a/crates/rpc/tests/view_updates.rs
+++ b/crates/rpc/tests/view_updates.rs
@@ -149,7 +149,7 @@
     let (small, large) = (membership_with(300), membership_with(3000));
     let mut update = ViewUpdate::default();
     update.put_membership(small.clone());
-    assert!(update.packed_membership.is_empty() && update.told_membership().as_deref() == Some(&small));
+    assert!(update.packed_membership.is_empty() && update.decoded_membership().as_deref() == Some(&small));
     let mut update = ViewUpdate::default();
     update.put_membership(large.clone());
     let packed = update.packed_membership.len();
@@ -157,10 +157,10 @@
         update.membership.is_none() && packed * 2 < prost::Message::encoded_len(&large),
         "packed size {packed} bytes"
     );
-    assert_eq!(update.told_membership().as_deref(), Some(&large));
+    assert_eq!(update.decoded_membership().as_deref(), Some(&large));
     update.packed_membership.truncate(packed / 2);
-    assert!(update.told_membership().is_none(), "truncated data is rejected");
-    assert!(ViewUpdate::default().told_membership().is_none());
+    assert!(update.decoded_membership().is_none(), "truncated data is rejected");
+    assert!(ViewUpdate::default().decoded_membership().is_none());
 }
 
 #[test]
@@ -178,7 +178,7 @@
             let mut update = ViewUpdate::default();
             cache.put(&mut update, &membership, have);
             assert_eq!(
-                update.told_membership().as_deref(),
+                update.decoded_membership().as_deref(),
                 Some(&membership.since(have)),
                 "round {round}, have {have}"
             );
