--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -33,7 +33,7 @@
     /// Takes whatever is newer; tells whether anything was.
     pub fn take(&mut self, news: &ViewUpdate) -> bool {
         let mut moved = false;
-        if let Some(json) = news.whole_configuration()
+        if let Some(json) = news.decoded_configuration()
             && let Ok(t) = Configuration::read(&json)
             && (t.revision > self.configuration.revision || (self.whole && t.revision == self.configuration.revision))
         {
--- a/crates/rpc/src/delta.rs
+++ b/crates/rpc/src/delta.rs
@@ -58,7 +58,7 @@
 
     /// Returns the whole configuration, decompressed if necessary; `None` if there is none or it
     /// cannot be decompressed.
-    pub fn whole_configuration(&self) -> Option<Bytes> {
+    pub fn decoded_configuration(&self) -> Option<Bytes> {
         if self.packed.is_empty() {
             return self.configuration.clone();
         }
