--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -47,12 +47,12 @@
         if let Some(c) = &news.assignments
             && c.version > self.assignments.version
         {
-            moved |= Arc::make_mut(&mut self.assignments).take(c);
+            moved |= Arc::make_mut(&mut self.assignments).apply(c);
         }
         if let Some(r) = news.decoded_membership()
             && r.version > self.membership.version
         {
-            moved |= Arc::make_mut(&mut self.membership).take(&r);
+            moved |= Arc::make_mut(&mut self.membership).apply(&r);
         }
         if !news.leader.is_empty() && news.leader != self.leader {
             self.leader = news.leader.clone();
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -391,7 +391,7 @@
                     }
                     f.unidentified.set_leader_list(n.unidentified.clone());
                     if let Some(r) = n.decoded_membership()
-                        && f.membership.take(&r)
+                        && f.membership.apply(&r)
                     {
                         if !f.functions {
                             f.processors.clone_from(&f.membership.processors);
--- a/crates/rpc/src/delta.rs
+++ b/crates/rpc/src/delta.rs
@@ -123,7 +123,7 @@
 
     /// Applies newer assignments, whole or a delta, and returns whether it did. A delta against a
     /// version that is not reached yet would leave a gap and is rejected.
-    pub fn take(&mut self, update: &Assignments) -> bool {
+    pub fn apply(&mut self, update: &Assignments) -> bool {
         if update.version <= self.version || update.since > self.version {
             return false;
         }
@@ -231,7 +231,7 @@
 
     /// Applies a newer membership, whole or a delta, and returns whether it did. A delta against a
     /// version that is not reached yet, or of another leader's term, is rejected.
-    pub fn take(&mut self, update: &Membership) -> bool {
+    pub fn apply(&mut self, update: &Membership) -> bool {
         if update.version <= self.version {
             return false;
         }
