--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -135,12 +135,12 @@
         let mut news = ViewUpdate {
             have: mine,
             steps,
-            assignments: (mine.assignments > have.assignments).then(|| self.assignments.since(have.assignments)),
+            assignments: (mine.assignments > have.assignments).then(|| self.assignments.delta_since(have.assignments)),
             leader: self.leader.clone(),
             ..ViewUpdate::default()
         };
         if mine.membership > have.membership {
-            news.put_membership(self.membership.since(have.membership));
+            news.put_membership(self.membership.delta_since(have.membership));
         }
         if let Some(json) = configuration {
             news.put_configuration(json);
--- a/crates/control/src/sessions.rs
+++ b/crates/control/src/sessions.rs
@@ -281,7 +281,7 @@
                 have,
                 steps,
                 assignments: (have.assignments > w.have.assignments)
-                    .then(|| f.control_state.assignments.since(w.have.assignments)),
+                    .then(|| f.control_state.assignments.delta_since(w.have.assignments)),
                 leader: if f.leader == self.me && !f.has_authority(self.now()) {
                     String::new()
                 } else {
--- a/crates/rpc/src/delta.rs
+++ b/crates/rpc/src/delta.rs
@@ -84,7 +84,7 @@
         }
         if !self.prepared.iter().any(|(base, _)| *base == have) {
             let mut delta = ViewUpdate::default();
-            delta.put_membership(membership.since(have));
+            delta.put_membership(membership.delta_since(have));
             self.prepared.truncate(PREPARED_VERSIONS - 1);
             self.prepared.push_front((have, delta));
         }
@@ -106,7 +106,7 @@
 
 impl Assignments {
     /// Returns the changes since version `have`, or everything if no delta is possible.
-    pub fn since(&self, have: u64) -> Assignments {
+    pub fn delta_since(&self, have: u64) -> Assignments {
         if have == 0 || have > self.version {
             return self.clone();
         }
@@ -214,7 +214,7 @@
     }
 
     /// Returns the changes since version `have`, or everything if no delta is possible.
-    pub fn since(&self, have: u64) -> Membership {
+    pub fn delta_since(&self, have: u64) -> Membership {
         if have < self.from || have > self.version || leader_term(have) != leader_term(self.version) {
             return Membership { gone: Vec::new(), from: 0, ..self.clone() };
         }
--- a/crates/rpc/tests/view_updates.rs
+++ b/crates/rpc/tests/view_updates.rs
@@ -32,17 +32,17 @@
     let mut leader = Membership::default();
     publish(&mut leader, TERM_1 + 1, &[node("a", 1), node("b", 1)], &[processor("u1", false), processor("u2", false)]);
     let mut receiver = Membership::default();
-    assert!(receiver.apply(&leader.since(0)));
+    assert!(receiver.apply(&leader.delta_since(0)));
     let mut late_receiver = receiver.clone();
     publish(&mut leader, TERM_1 + 2, &[node("a", 1), node("b", 2)], &[processor("u1", true), processor("u2", false)]);
-    let first = leader.since(receiver.version);
+    let first = leader.delta_since(receiver.version);
     assert_eq!(
         (first.nodes.len(), first.processors.len(), first.since),
         (1, 1, TERM_1 + 1),
         "the delta holds only what changed"
     );
     publish(&mut leader, TERM_1 + 3, &[node("b", 2), node("c", 1)], &[processor("u2", false), processor("u3", false)]);
-    let second = leader.since(first.version);
+    let second = leader.delta_since(first.version);
     // Out of order: the second delta would leave a gap and is rejected.
     assert!(!late_receiver.apply(&second));
     assert!(
@@ -51,7 +51,7 @@
     );
     assert_eq!(view(&receiver), view(&leader));
     // A receiver that missed both gets them as one delta, also from a peer that is not the leader.
-    assert!(late_receiver.apply(&receiver.since(late_receiver.version)));
+    assert!(late_receiver.apply(&receiver.delta_since(late_receiver.version)));
     assert_eq!(view(&late_receiver), view(&leader));
 }
 
@@ -61,16 +61,16 @@
     publish(&mut old, TERM_1 + 1, &[node("a", 1), node("b", 1)], &[processor("u1", false)]);
     // The next leader starts from this copy, while the old one still sends a later change to others.
     let mut next = Membership::default();
-    next.apply(&old.since(0));
+    next.apply(&old.delta_since(0));
     publish(&mut old, TERM_1 + 2, &[node("a", 1)], &[processor("u1", true)]);
     let mut receiver = Membership::default();
-    receiver.apply(&old.since(0));
+    receiver.apply(&old.delta_since(0));
     publish(&mut next, TERM_2 + 1, &[node("a", 1), node("b", 1), node("c", 1)], &[processor("u1", false)]);
-    let update = next.since(receiver.version);
+    let update = next.delta_since(receiver.version);
     assert_eq!(update.since, 0, "the new leader has no delta against a version that it never had");
     assert!(receiver.apply(&update));
     assert_eq!(view(&receiver), view(&next));
-    assert!(!receiver.apply(&old.since(TERM_1 + 1)), "updates of the old leader are rejected");
+    assert!(!receiver.apply(&old.delta_since(TERM_1 + 1)), "updates of the old leader are rejected");
 }
 
 #[test]
@@ -80,12 +80,12 @@
     let mut blank = Membership::default();
     let b = node("b", 1);
     blank.publish(TERM_2 + 1, &[&b], &[], false);
-    assert!(receiver.apply(&blank.since(receiver.version)));
+    assert!(receiver.apply(&blank.delta_since(receiver.version)));
     assert_eq!(view(&receiver), (vec![("b".into(), 1)], vec![("u1".into(), true)]));
     assert!(receiver.listed);
     // Once the leader has listed them, its list is adopted.
     blank.publish(TERM_2 + 2, &[&b], &[processor("u2", false)], true);
-    assert!(receiver.apply(&blank.since(0)));
+    assert!(receiver.apply(&blank.delta_since(0)));
     assert_eq!(view(&receiver).1, vec![("u2".into(), false)]);
 }
 
@@ -95,15 +95,15 @@
     let ids: Vec<Processor> = (0..600).map(|n| processor(&format!("u{n:04}"), false)).collect();
     publish(&mut leader, TERM_1 + 1, &[], &ids);
     let mut receiver = Membership::default();
-    receiver.apply(&leader.since(0));
+    receiver.apply(&leader.delta_since(0));
     for n in 1..=500u64 {
         publish(&mut leader, TERM_1 + 1 + n, &[], &ids[n as usize..]);
     }
-    let update = leader.since(receiver.version);
+    let update = leader.delta_since(receiver.version);
     assert_eq!(update.since, 0);
     assert!(receiver.apply(&update));
     assert_eq!(view(&receiver), view(&leader));
-    assert!(leader.since(TERM_1 + 499).processors.is_empty() && leader.since(TERM_1 + 499).gone.len() == 2);
+    assert!(leader.delta_since(TERM_1 + 499).processors.is_empty() && leader.delta_since(TERM_1 + 499).gone.len() == 2);
 }
 
 #[test]
@@ -112,15 +112,15 @@
     let mut leader =
         Assignments { version: 5, partitions: (0..8).map(|i| partition(i, 1, 5)).collect(), ..Assignments::default() };
     let mut receiver = Assignments::default();
-    assert!(receiver.apply(&leader.since(0)));
+    assert!(receiver.apply(&leader.delta_since(0)));
     leader.partitions[3] = partition(3, 2, 7);
     leader.version = 7;
-    let first = leader.since(receiver.version);
+    let first = leader.delta_since(receiver.version);
     assert_eq!(first.partitions.len(), 1);
     leader.partitions[3] = partition(3, 3, 9);
     leader.partitions[4] = partition(4, 2, 8);
     leader.version = 9;
-    let second = leader.since(7);
+    let second = leader.delta_since(7);
     assert!(!receiver.clone().apply(&second), "a delta with a gap is rejected");
     assert!(receiver.apply(&first) && receiver.apply(&second) && !receiver.apply(&first));
     assert_eq!(receiver, leader);
@@ -179,7 +179,7 @@
             cache.put(&mut update, &membership, have);
             assert_eq!(
                 update.decoded_membership().as_deref(),
-                Some(&membership.since(have)),
+                Some(&membership.delta_since(have)),
                 "round {round}, have {have}"
             );
         }
