--- a/crates/rpc/src/delta.rs
+++ b/crates/rpc/src/delta.rs
@@ -1,7 +1,7 @@
 //! Propagation of assignments and membership, either whole or as a delta against the version that
 //! the receiver has.
 
-use crate::messages::{Assignments, Gone, Membership, Node, Processor, ViewUpdate};
+use crate::messages::{Assignments, Membership, Node, Processor, Removal, ViewUpdate};
 use bytes::Bytes;
 use prost::Message;
 use std::borrow::Cow;
@@ -175,8 +175,8 @@
     /// Publishes the leader's next version. `nodes` must be sorted by name and `processors` by id.
     pub fn publish(&mut self, version: u64, nodes: &[&Node], processors: &[Processor], listed: bool) {
         if leader_term(self.version) != leader_term(version) {
-            self.gone.clear();
-            self.from = version;
+            self.removals.clear();
+            self.removals_from = version;
         }
         let old = std::mem::take(&mut self.nodes);
         let by_name: HashMap<&str, &Node> = old.iter().map(|n| (n.name.as_str(), n)).collect();
@@ -186,7 +186,7 @@
         }
         let names: HashSet<&str> = nodes.iter().map(|n| n.name.as_str()).collect();
         for o in old.iter().filter(|o| !names.contains(o.name.as_str())) {
-            self.gone.push(Gone { name: o.name.clone(), processor: false, version });
+            self.removals.push(Removal { name: o.name.clone(), processor: false, version });
         }
         let old = std::mem::take(&mut self.processors);
         let by_id: HashMap<&str, &Processor> = old.iter().map(|u| (u.id.as_str(), u)).collect();
@@ -196,7 +196,7 @@
         }
         let ids: HashSet<&str> = processors.iter().map(|u| u.id.as_str()).collect();
         for o in old.iter().filter(|o| !ids.contains(o.id.as_str())) {
-            self.gone.push(Gone { name: o.id.clone(), processor: true, version });
+            self.removals.push(Removal { name: o.id.clone(), processor: true, version });
         }
         self.version = version;
         self.listed = listed;
@@ -206,17 +206,17 @@
     /// Drops the oldest removals beyond `MAX_REMOVALS` and raises the version from which on they are
     /// complete.
     fn prune_removals(&mut self) {
-        if self.gone.len() > MAX_REMOVALS {
-            let cut = self.gone.len() - MAX_REMOVALS;
-            self.from = self.from.max(self.gone[cut - 1].version);
-            self.gone.drain(..cut);
+        if self.removals.len() > MAX_REMOVALS {
+            let cut = self.removals.len() - MAX_REMOVALS;
+            self.removals_from = self.removals_from.max(self.removals[cut - 1].version);
+            self.removals.drain(..cut);
         }
     }
 
     /// Returns the changes since version `have`, or everything if no delta is possible.
     pub fn delta_since(&self, have: u64) -> Membership {
-        if have < self.from || have > self.version || leader_term(have) != leader_term(self.version) {
-            return Membership { gone: Vec::new(), from: 0, ..self.clone() };
+        if have < self.removals_from || have > self.version || leader_term(have) != leader_term(self.version) {
+            return Membership { removals: Vec::new(), removals_from: 0, ..self.clone() };
         }
         Membership {
             version: self.version,
@@ -224,8 +224,8 @@
             processors: self.processors.iter().filter(|u| u.changed > have).cloned().collect(),
             listed: self.listed,
             since: have,
-            gone: self.gone.iter().filter(|g| g.version > have).cloned().collect(),
-            from: 0,
+            removals: self.removals.iter().filter(|g| g.version > have).cloned().collect(),
+            removals_from: 0,
         }
     }
 
@@ -238,7 +238,7 @@
         if update.since == 0 {
             let processors = std::mem::take(&mut self.processors);
             let listed = self.listed;
-            *self = Membership { gone: Vec::new(), from: update.version, ..update.clone() };
+            *self = Membership { removals: Vec::new(), removals_from: update.version, ..update.clone() };
             if !update.listed && listed {
                 // The leader could not query the platform yet, so its update says nothing about
                 // processors.
@@ -250,7 +250,7 @@
         if update.since > self.version || leader_term(update.since) != leader_term(self.version) {
             return false;
         }
-        for g in &update.gone {
+        for g in &update.removals {
             if g.processor {
                 self.processors.retain(|u| u.id != g.name || u.changed > g.version);
             } else {
@@ -269,7 +269,7 @@
                 Err(at) => self.processors.insert(at, u.clone()),
             }
         }
-        self.gone.extend(update.gone.iter().filter(|g| g.version > self.version).cloned());
+        self.removals.extend(update.removals.iter().filter(|g| g.version > self.version).cloned());
         self.version = update.version;
         self.listed |= update.listed;
         self.prune_removals();
--- a/crates/rpc/src/messages/membership.rs
+++ b/crates/rpc/src/messages/membership.rs
@@ -149,14 +149,14 @@
     pub since: u64,
     /// Nodes and processors that were removed.
     #[prost(message, repeated, tag = "6")]
-    pub gone: Vec<Gone>,
-    /// The version from which on `gone` is complete.
+    pub removals: Vec<Removal>,
+    /// The version from which on `removals` is complete.
     #[prost(uint64, tag = "7")]
-    pub from: u64,
+    pub removals_from: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Gone {
+pub struct Removal {
     /// A node's name, or a processor's id.
     #[prost(string, tag = "1")]
     pub name: String,
--- a/crates/rpc/tests/view_updates.rs
+++ b/crates/rpc/tests/view_updates.rs
@@ -103,7 +103,9 @@
     assert_eq!(update.since, 0);
     assert!(receiver.apply(&update));
     assert_eq!(view(&receiver), view(&leader));
-    assert!(leader.delta_since(TERM_1 + 499).processors.is_empty() && leader.delta_since(TERM_1 + 499).gone.len() == 2);
+    assert!(
+        leader.delta_since(TERM_1 + 499).processors.is_empty() && leader.delta_since(TERM_1 + 499).removals.len() == 2
+    );
 }
 
 #[test]
@@ -168,7 +170,7 @@
     let node = |name: &str, changed: u64| Node { name: name.into(), changed, ..Node::default() };
     let mut membership = Membership {
         version: TERM_1 + 2,
-        from: TERM_1,
+        removals_from: TERM_1,
         nodes: vec![node("a", TERM_1 + 1), node("b", TERM_1 + 2)],
         ..Membership::default()
     };
--- a/crates/store/tests/takeover.rs
+++ b/crates/store/tests/takeover.rs
@@ -46,8 +46,8 @@
 #[test]
 fn a_membership_is_stored_without_its_removal_history() {
     let nodes = vec![node("f1", "front", "a:1")];
-    let current = Membership { version: 7, since: 5, from: 3, nodes, listed: true, ..Membership::default() };
+    let current = Membership { version: 7, since: 5, removals_from: 3, nodes, listed: true, ..Membership::default() };
     let stored = stored_form(&current);
-    assert_eq!((stored.version, stored.since, stored.from, stored.listed), (7, 0, 0, true));
+    assert_eq!((stored.version, stored.since, stored.removals_from, stored.listed), (7, 0, 0, true));
     assert_eq!(stored.nodes, current.nodes);
 }
