--- a/crates/functions/src/gateway/slot_client.rs
+++ b/crates/functions/src/gateway/slot_client.rs
@@ -88,7 +88,7 @@
                 service: service.to_owned(),
                 front: self.settings.node.clone(),
                 slot_id,
-                patience_ms: max_wait.as_millis() as u32,
+                max_wait_ms: max_wait.as_millis() as u32,
                 hold_ms: (route.timeout_ms as u32).saturating_add(max_wait.as_millis() as u32),
                 target_start_ms: route.target_latency_ms as u32,
                 dark: self.unresponsive_fronts(),
--- a/crates/functions/src/slots.rs
+++ b/crates/functions/src/slots.rs
@@ -389,7 +389,7 @@
         function.waiting.retain(|waiting| waiting.holder != holder);
         function.waiting.push_back(WaitingRequest {
             holder,
-            deadline: now + u64::from(request.patience_ms),
+            deadline: now + u64::from(request.max_wait_ms),
             hold_ms: u64::from(request.hold_ms),
             target_start_ms: u64::from(request.target_start_ms),
             rank: request.rank,
--- a/crates/functions/tests/slot_owner.rs
+++ b/crates/functions/tests/slot_owner.rs
@@ -62,19 +62,19 @@
         self.slot_table.tick(self.now, &mut self.effects);
     }
 
-    fn request(&mut self, patience_ms: u32) -> u64 {
-        self.request_in(&[], patience_ms)
+    fn request(&mut self, max_wait_ms: u32) -> u64 {
+        self.request_in(&[], max_wait_ms)
     }
 
     /// As `request`, for a request that may run only in these zones.
-    fn request_in(&mut self, zones: &[&str], patience_ms: u32) -> u64 {
+    fn request_in(&mut self, zones: &[&str], max_wait_ms: u32) -> u64 {
         self.last_slot_id += 1;
         let (service, front) = ("f".to_owned(), "a".to_owned());
         let request = SlotRequest {
             service,
             front,
             slot_id: self.last_slot_id,
-            patience_ms,
+            max_wait_ms,
             hold_ms: 3000,
             target_start_ms: 400,
             dark: vec![],
@@ -342,13 +342,13 @@
 }
 
 /// Requests a slot with the given slot id.
-fn request_with_id(fixture: &mut Fixture, slot_id: u64, patience_ms: u32) {
+fn request_with_id(fixture: &mut Fixture, slot_id: u64, max_wait_ms: u32) {
     let (service, front) = ("f".to_owned(), "a".to_owned());
     let request = SlotRequest {
         service,
         front,
         slot_id,
-        patience_ms,
+        max_wait_ms,
         hold_ms: 3000,
         target_start_ms: 400,
         dark: vec![],
@@ -416,7 +416,7 @@
         service: "f".into(),
         front: front.into(),
         slot_id,
-        patience_ms: 2000,
+        max_wait_ms: 2000,
         hold_ms: 3000,
         ..SlotRequest::default()
     };
@@ -531,12 +531,12 @@
         random ^= random << 17;
         let rank = usize::from(random % 10 >= urgent_in_ten);
         let (service, front) = ("f".to_owned(), "a".to_owned());
-        let (patience_ms, hold_ms, target_start_ms, dark) = (1000, 3000, 400, vec![]);
+        let (max_wait_ms, hold_ms, target_start_ms, dark) = (1000, 3000, 400, vec![]);
         let request = SlotRequest {
             service,
             front,
             slot_id: n,
-            patience_ms,
+            max_wait_ms,
             hold_ms,
             target_start_ms,
             dark,
--- a/crates/rpc/src/messages/slots.rs
+++ b/crates/rpc/src/messages/slots.rs
@@ -14,7 +14,7 @@
     pub slot_id: u64,
     /// The maximum time to wait for a slot.
     #[prost(uint32, tag = "4")]
-    pub patience_ms: u32,
+    pub max_wait_ms: u32,
     /// The maximum time for which the slot may be held.
     #[prost(uint32, tag = "5")]
     pub hold_ms: u32,
