--- a/crates/functions/src/gateway/slot_client.rs
+++ b/crates/functions/src/gateway/slot_client.rs
@@ -55,7 +55,7 @@
         let unresponsive = self.unresponsive_fronts();
         let to_probe: Vec<(String, String)> = fronts
             .iter()
-            .filter(|front| request.dark.contains(&front.1) && !unresponsive.contains(&front.1))
+            .filter(|front| request.unresponsive_fronts.contains(&front.1) && !unresponsive.contains(&front.1))
             .map(|front| (front.1.clone(), front.2.clone()))
             .collect();
         for (name, address) in to_probe {
@@ -91,7 +91,7 @@
                 max_wait_ms: max_wait.as_millis() as u32,
                 hold_ms: (route.timeout_ms as u32).saturating_add(max_wait.as_millis() as u32),
                 target_start_ms: route.target_latency_ms as u32,
-                dark: self.unresponsive_fronts(),
+                unresponsive_fronts: self.unresponsive_fronts(),
                 rank: route.rank,
                 zones: zones.to_vec(),
             };
--- a/crates/functions/src/gateway/slot_service.rs
+++ b/crates/functions/src/gateway/slot_service.rs
@@ -138,7 +138,7 @@
     pub(super) fn handle_slot_request(self: &Arc<Self>, request: SlotRequest, waiter: Waiter) {
         if self.is_slot_owner(&request.service, &self.unresponsive_fronts()) {
             self.enqueue_slot_request(request, waiter);
-        } else if self.is_slot_owner(&request.service, &request.dark) {
+        } else if self.is_slot_owner(&request.service, &request.unresponsive_fronts) {
             tokio::spawn(self.clone().check_excluded_fronts(request, waiter));
         } else {
             let outcome = SlotOutcome::Elsewhere as i32;
--- a/crates/functions/tests/slot_owner.rs
+++ b/crates/functions/tests/slot_owner.rs
@@ -77,7 +77,7 @@
             max_wait_ms,
             hold_ms: 3000,
             target_start_ms: 400,
-            dark: vec![],
+            unresponsive_fronts: vec![],
             rank: 0,
             zones: zones.iter().map(|zone| zone.to_string()).collect(),
         };
@@ -351,7 +351,7 @@
         max_wait_ms,
         hold_ms: 3000,
         target_start_ms: 400,
-        dark: vec![],
+        unresponsive_fronts: vec![],
         rank: 0,
         zones: vec![],
     };
@@ -531,7 +531,7 @@
         random ^= random << 17;
         let rank = usize::from(random % 10 >= urgent_in_ten);
         let (service, front) = ("f".to_owned(), "a".to_owned());
-        let (max_wait_ms, hold_ms, target_start_ms, dark) = (1000, 3000, 400, vec![]);
+        let (max_wait_ms, hold_ms, target_start_ms, unresponsive_fronts) = (1000, 3000, 400, vec![]);
         let request = SlotRequest {
             service,
             front,
@@ -539,7 +539,7 @@
             max_wait_ms,
             hold_ms,
             target_start_ms,
-            dark,
+            unresponsive_fronts,
             rank: rank as u32,
             zones: vec![],
         };
--- a/crates/rpc/src/messages/slots.rs
+++ b/crates/rpc/src/messages/slots.rs
@@ -23,7 +23,7 @@
     pub target_start_ms: u32,
     /// Fronts that precede the receiver as slot owner and do not answer the requester.
     #[prost(string, repeated, tag = "7")]
-    pub dark: Vec<String>,
+    pub unresponsive_fronts: Vec<String>,
     /// The rank of the request's route; 0 is the most urgent.
     #[prost(uint32, tag = "8")]
     pub rank: u32,
