--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -139,7 +139,7 @@
         release: &SlotRelease,
     ) -> ForwardOutcome {
         if grant.starting && !self.wait_until_up(request, grant, release).await {
-            return ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Dark);
+            return ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Unresponsive);
         }
         if self.is_zone_evacuated(&grant.zone) {
             telemetry::count("sends_spared_evacuated");
@@ -167,9 +167,13 @@
             SendOutcome::OtherProcessor => ForwardOutcome::Failed(DeliveryFailure::Refused, SlotEnd::Gone),
             SendOutcome::Refused => ForwardOutcome::Failed(DeliveryFailure::Refused, SlotEnd::Full),
             SendOutcome::NotSent { is_gone: true } => ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Gone),
-            SendOutcome::NotSent { is_gone: false } => ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Dark),
+            SendOutcome::NotSent { is_gone: false } => {
+                ForwardOutcome::Failed(DeliveryFailure::NotSent, SlotEnd::Unresponsive)
+            }
             SendOutcome::Lost => ForwardOutcome::Failed(DeliveryFailure::Lost, SlotEnd::Done),
-            SendOutcome::TimedOut if grant.starting => ForwardOutcome::Failed(DeliveryFailure::Silent, SlotEnd::Dark),
+            SendOutcome::TimedOut if grant.starting => {
+                ForwardOutcome::Failed(DeliveryFailure::Silent, SlotEnd::Unresponsive)
+            }
             SendOutcome::TimedOut => ForwardOutcome::Failed(DeliveryFailure::Silent, SlotEnd::Done),
         }
     }
@@ -199,7 +203,7 @@
                 Err(_) => tokio::time::sleep(pause.min(left)).await,
             }
         }
-        self.report_slot(SlotRelease { end: SlotEnd::Up as i32, ..release.clone() });
+        self.report_slot(SlotRelease { end: SlotEnd::Started as i32, ..release.clone() });
         true
     }
 }
--- a/crates/functions/src/gateway/slot_client.rs
+++ b/crates/functions/src/gateway/slot_client.rs
@@ -191,7 +191,7 @@
     }
 
     pub(super) fn report_slot_to(self: &Arc<Self>, owner: Option<(String, String)>, release: SlotRelease) {
-        if release.end != SlotEnd::Up as i32 {
+        if release.end != SlotEnd::Started as i32 {
             self.state.lock().unwrap().held_slots.remove(&release.slot_id);
         }
         let Some((name, address)) = owner else { return };
--- a/crates/functions/src/slots.rs
+++ b/crates/functions/src/slots.rs
@@ -430,21 +430,21 @@
             }
         }
         if let Some(processor) = function.processors.get_mut(&release.processor) {
-            if end != SlotEnd::Up {
+            if end != SlotEnd::Started {
                 processor.holders.remove(&holder);
                 if processor.holders.is_empty() {
                     processor.idle_since = now;
                 }
             }
             match end {
-                SlotEnd::Done | SlotEnd::Up => processor.is_up = true,
+                SlotEnd::Done | SlotEnd::Started => processor.is_up = true,
                 // A front holds a slot that was not granted here but, for example, by another slot
                 // owner. One slot less is granted until that request can be expected to have ended.
                 SlotEnd::Full => {
                     let expires_at = now + (2 * boot_ms).max(backoff_ms / 2);
                     processor.holders.insert((String::new(), release.slot_id), expires_at);
                 }
-                SlotEnd::Dark => processor.unavailable_until = now + backoff_ms,
+                SlotEnd::Unresponsive => processor.unavailable_until = now + backoff_ms,
                 SlotEnd::Gone => {
                     function.processors.remove(&release.processor);
                     self.removed.insert(release.processor.clone(), RemovedProcessor::new(now, backoff_ms));
--- a/crates/functions/tests/slot_owner.rs
+++ b/crates/functions/tests/slot_owner.rs
@@ -123,7 +123,7 @@
     fixture.slot_table.processor_started("f", &starts[0], &ack("u1", "10.0.0.1:1"), fixture.now, &mut fixture.effects);
     fixture.advance(300);
     assert!(fixture.take_grants().is_empty());
-    fixture.release(a, "u1", SlotEnd::Up);
+    fixture.release(a, "u1", SlotEnd::Started);
     assert_eq!(fixture.take_grants(), [(b, "u1".into(), false)]);
     let c = fixture.request(2000);
     assert!(fixture.take_grants().is_empty(), "both slots are held");
@@ -273,7 +273,7 @@
                         held.insert(holder.1, processor.clone());
                         expires_at.insert(holder.1, fixture.now + 3000);
                         if starting && random_below(2) == 0 {
-                            fixture.release(holder.1, &processor, SlotEnd::Up);
+                            fixture.release(holder.1, &processor, SlotEnd::Started);
                         }
                     }
                     Effect::Start { nonce, .. } => nonces.push(nonce),
@@ -425,7 +425,7 @@
     }
     assert_eq!(fixture.take_grants().len(), 2, "its slots are granted to another front");
     // It releases all of its slots repeatedly, with the slot ids that the other front uses.
-    for end in [SlotEnd::Done, SlotEnd::Dark, SlotEnd::Done] {
+    for end in [SlotEnd::Done, SlotEnd::Unresponsive, SlotEnd::Done] {
         fixture.release(a, "u1", end);
         fixture.release(b, "u1", end);
     }
--- a/crates/rpc/src/messages/slots.rs
+++ b/crates/rpc/src/messages/slots.rs
@@ -70,9 +70,9 @@
     /// Released: the address refuses connections, or another processor answers there.
     Gone = 2,
     /// Released: the connection or the request timed out.
-    Dark = 3,
+    Unresponsive = 3,
     /// Not released yet: the processor has started.
-    Up = 4,
+    Started = 4,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
