--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -121,7 +121,7 @@
                 }
             };
             let safety = if request.is_safe { RetrySafety::Safe } else { RetrySafety::Unsafe };
-            let retry_owner = delivery_failure.again(safety);
+            let retry_owner = delivery_failure.retry_owner(safety);
             let may_retry =
                 matches!(retry_owner, RetryOwner::Front | RetryOwner::FrontTries) && request.attempts().has_room();
             if !may_retry || !self.take_retry() {
--- a/crates/rpc/src/outcome.rs
+++ b/crates/rpc/src/outcome.rs
@@ -68,7 +68,7 @@
     }
 
     /// Implements the table in docs/design.md, "Notes on answers".
-    pub fn again(self, class: RetrySafety) -> RetryOwner {
+    pub fn retry_owner(self, class: RetrySafety) -> RetryOwner {
         match (class, self) {
             // If the request may have run, most processors have dropped it by the end of the
             // back-off.
--- a/crates/rpc/tests/outcome.rs
+++ b/crates/rpc/tests/outcome.rs
@@ -21,7 +21,7 @@
     ];
     for (class, row) in table {
         for (failure, expected) in failures.into_iter().zip(row) {
-            let owner = failure.again(class);
+            let owner = failure.retry_owner(class);
             assert_eq!(owner, expected, "{class:?} {failure:?}");
             let may_have_run = failure.execution() == ExecutionOutcome::MayHaveRun;
             assert!(
--- a/crates/store/src/service/requests.rs
+++ b/crates/store/src/service/requests.rs
@@ -230,7 +230,7 @@
             _ if is_outdated => responder.send(Body::ReportAck(ReportAck { kept: true })),
             _ => {
                 responder.send(Body::ReportAck(ReportAck { kept: true }));
-                match delivery_failure(outcome, report.status).again(self.retry_safety(state, key)) {
+                match delivery_failure(outcome, report.status).retry_owner(self.retry_safety(state, key)) {
                     RetryOwner::Owner => self.schedule(state, key, now),
                     _ => {
                         let backoff = state.scheduler.next_backoff(key);
