--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -341,7 +341,7 @@
             match asked {
                 Ok(Body::ViewUpdate(n)) => {
                     failures = 0;
-                    self.time.lock().unwrap().told(n.time_ms, asked_ms, self.now());
+                    self.time.lock().unwrap().update(n.time_ms, asked_ms, self.now());
                     if !n.control_nodes.is_empty() {
                         let mut f = self.control_nodes.lock().unwrap();
                         for a in &n.control_nodes {
--- a/crates/control/tests/clock_steps.rs
+++ b/crates/control/tests/clock_steps.rs
@@ -221,7 +221,7 @@
             if n != leader {
                 self.control[n].follow(time, control, control);
             }
-            self.carried[n].told(time, store, store);
+            self.carried[n].update(time, store, store);
         }
     }
 
--- a/crates/rpc/src/slewed_clock.rs
+++ b/crates/rpc/src/slewed_clock.rs
@@ -113,7 +113,7 @@
     /// `asked`; 0 if the leader has none. The leader read it between the two moments. It is
     /// assumed to have been read at `now`, so the carried time is late by at most the round trip
     /// and never early.
-    pub fn told(&mut self, time_ms: u64, asked: u64, now: u64) {
+    pub fn update(&mut self, time_ms: u64, asked: u64, now: u64) {
         if !is_plausible_time(time_ms) || now < asked {
             return;
         }
--- a/crates/rpc/tests/clock.rs
+++ b/crates/rpc/tests/clock.rs
@@ -34,20 +34,20 @@
 fn the_carried_time_is_late_by_the_way_at_most_and_goes_on_by_the_steady_clock() {
     let mut clock = CarriedTime::default();
     assert_eq!(clock.time(5), None);
-    clock.told(0, 0, 10);
+    clock.update(0, 0, 10);
     assert_eq!(clock.time(10), None, "0 means that the leader has no time");
-    clock.told(START_MS + 1_005, 1_000, 1_010);
+    clock.update(START_MS + 1_005, 1_000, 1_010);
     assert_eq!(clock.time(1_010), Some(START_MS + 1_005));
     // An update that is consistent within its round trip changes nothing.
-    clock.told(START_MS + 5_000, 5_000, 5_010);
-    clock.told(START_MS + 6_100, 6_000, 6_400);
+    clock.update(START_MS + 5_000, 5_000, 5_010);
+    clock.update(START_MS + 6_100, 6_000, 6_400);
     assert_eq!(clock.time(7_010), Some(START_MS + 7_005));
     // The time of another leader is adopted without slewing.
-    clock.told(START_MS + 9_500, 8_000, 8_010);
+    clock.update(START_MS + 9_500, 8_000, 8_010);
     assert_eq!(clock.time(8_010), Some(START_MS + 9_500));
     // Implausible times, and answers that precede their request, are ignored.
-    clock.told(u64::MAX, 9_000, 9_000);
-    clock.told(START_MS, 9_000, 8_900);
+    clock.update(u64::MAX, 9_000, 9_000);
+    clock.update(START_MS, 9_000, 8_900);
     assert_eq!(clock.time(9_010), Some(START_MS + 10_500));
 }
 
--- a/crates/store/src/service/lease.rs
+++ b/crates/store/src/service/lease.rs
@@ -72,7 +72,7 @@
                     }
                     let has_time = {
                         let mut carried = self.cluster_time.lock().unwrap();
-                        carried.told(ack.time_ms, asked_at, self.now());
+                        carried.update(ack.time_ms, asked_at, self.now());
                         carried.time(asked_at).is_some()
                     };
                     let first_granted_at = *first_granted_at.get_or_insert(asked_at);
