--- a/crates/partition/src/clock.rs
+++ b/crates/partition/src/clock.rs
@@ -32,7 +32,7 @@
     pub fn observe_record(&mut self, at_ms: u64, now: u64) {
         match self {
             PartitionClock::Stopped { reached_ms } => *reached_ms = at_ms.max(*reached_ms),
-            PartitionClock::Running(clock) => clock.raise_to(at_ms, now),
+            PartitionClock::Running(clock) => clock.advance_to(at_ms, now),
         }
     }
 
--- a/crates/rpc/src/slewed_clock.rs
+++ b/crates/rpc/src/slewed_clock.rs
@@ -70,7 +70,7 @@
 
     /// Steps forward to `time_ms` if the time is behind it. Used for times that a log already
     /// records as passed.
-    pub fn raise_to(&mut self, time_ms: u64, now: u64) {
+    pub fn advance_to(&mut self, time_ms: u64, now: u64) {
         if time_ms > self.time(now) {
             *self = SlewedClock::start(time_ms, self.read_at.max(now), self.slew_ppm);
         }
