--- a/crates/functions/src/gateway/slot_client.rs
+++ b/crates/functions/src/gateway/slot_client.rs
@@ -14,7 +14,7 @@
     pub(super) fn slot_owner_excluding(&self, service: &str, excluded: &[String]) -> Option<(String, String)> {
         let fronts = self.fronts.lock().unwrap().clone();
         let is_excluded = |name: &str| excluded.iter().any(|front| front == name);
-        rpc::slot_owner_but(&fronts, service, is_excluded).map(|front| (front.1.clone(), front.2.clone()))
+        rpc::slot_owner_excluding(&fronts, service, is_excluded).map(|front| (front.1.clone(), front.2.clone()))
     }
 
     /// The fronts that recently did not answer, in order of name.
--- a/crates/functions/tests/slot_owner.rs
+++ b/crates/functions/tests/slot_owner.rs
@@ -336,7 +336,7 @@
     assert!(owned.len() == 77 && owned.values().all(|n| *n < 40), "{owned:?}");
     for service in &services {
         let first = &rpc::slot_owner(&fronts, service).expect("one").1;
-        let next = &rpc::slot_owner_but(&fronts, service, |n| n == "front-5").expect("one").1;
+        let next = &rpc::slot_owner_excluding(&fronts, service, |n| n == "front-5").expect("one").1;
         assert_eq!(first != next, first == "front-5");
     }
 }
--- a/crates/rpc/src/slot_owner.rs
+++ b/crates/rpc/src/slot_owner.rs
@@ -24,11 +24,11 @@
 
 /// Returns the slot owner of a function: the front with the highest combined hash.
 pub fn slot_owner<'a>(fronts: &'a [Front], service: &str) -> Option<&'a Front> {
-    slot_owner_but(fronts, service, |_| false)
+    slot_owner_excluding(fronts, service, |_| false)
 }
 
 /// Returns the slot owner among the fronts that `unresponsive` does not exclude as unresponsive.
-pub fn slot_owner_but<'a>(
+pub fn slot_owner_excluding<'a>(
     fronts: &'a [Front],
     service: &str,
     unresponsive: impl Fn(&str) -> bool,
