--- a/crates/rpc/src/delta.rs
+++ b/crates/rpc/src/delta.rs
@@ -26,7 +26,7 @@
         if json.len() < 4096 {
             self.configuration = Some(json);
         } else {
-            self.packed = lz4_flex::compress_prepend_size(&json).into();
+            self.packed_configuration = lz4_flex::compress_prepend_size(&json).into();
         }
     }
 
@@ -59,10 +59,10 @@
     /// Returns the whole configuration, decompressed if necessary; `None` if there is none or it
     /// cannot be decompressed.
     pub fn decoded_configuration(&self) -> Option<Bytes> {
-        if self.packed.is_empty() {
+        if self.packed_configuration.is_empty() {
             return self.configuration.clone();
         }
-        unpacked(&self.packed).map(Bytes::from)
+        unpacked(&self.packed_configuration).map(Bytes::from)
     }
 }
 
--- a/crates/rpc/src/messages/membership.rs
+++ b/crates/rpc/src/messages/membership.rs
@@ -89,7 +89,7 @@
     /// The whole configuration, compressed; a large one would otherwise occupy a slow link for
     /// seconds.
     #[prost(bytes = "bytes", tag = "9")]
-    pub packed: Bytes,
+    pub packed_configuration: Bytes,
     /// The membership, compressed, instead of `membership`: transferring a large one over a slow
     /// link takes longer than the caller waits for an answer.
     #[prost(bytes = "bytes", tag = "11")]
