--- a/crates/control/src/quota.rs
+++ b/crates/control/src/quota.rs
@@ -70,8 +70,8 @@
         }
         let ledger = leases.ledger.get_or_insert_with(|| QuotaLedger::new(terms, now));
         let (node, incarnation) = (request.node.name.as_str(), request.node.incarnation);
-        if !ledger.receive(node, incarnation, request.sequence, request.introduces, now) {
-            return QuotaResponse { introduce: true, ..QuotaResponse::default() };
+        if !ledger.receive(node, incarnation, request.sequence, request.is_full_report, now) {
+            return QuotaResponse { needs_full_report: true, ..QuotaResponse::default() };
         }
         for holding in &request.counted {
             ledger.count_partition(holding.partition, holding.term);
@@ -99,7 +99,7 @@
             telemetry::add("quota_tokens_granted", u64::from(answer.granted));
             check_spending(ledger, &report.tenant, limit, now);
         }
-        QuotaResponse { taken: true, introduce: false, grants }
+        QuotaResponse { taken: true, needs_full_report: false, grants }
     }
 }
 
--- a/crates/rpc/src/messages/quota.rs
+++ b/crates/rpc/src/messages/quota.rs
@@ -45,7 +45,7 @@
     pub sequence: u64,
     /// The request is a full report: every tenant, and everything spent in the last window.
     #[prost(bool, tag = "3")]
-    pub introduces: bool,
+    pub is_full_report: bool,
     /// The reports, one per tenant.
     #[prost(message, repeated, tag = "4")]
     pub usages: Vec<TenantUsage>,
@@ -76,7 +76,7 @@
     pub taken: bool,
     /// The responder is the leader and does not know the requester, which must send a full report.
     #[prost(bool, tag = "2")]
-    pub introduce: bool,
+    pub needs_full_report: bool,
     /// One grant per usage in the request, in the same order.
     #[prost(message, repeated, tag = "3")]
     pub grants: Vec<TenantGrant>,
--- a/crates/store/src/service/quota.rs
+++ b/crates/store/src/service/quota.rs
@@ -145,7 +145,7 @@
         let request = QuotaRequest {
             node: self.session.me(),
             sequence: quota.sequence,
-            introduces: quota.introduces,
+            is_full_report: quota.introduces,
             usages: reports.iter().map(usage_of).collect(),
             counted: counted.collect(),
         };
@@ -169,7 +169,7 @@
                 let answers: Vec<QuotaAnswer> = response.grants.iter().map(answer).collect();
                 quota.stock.apply_answers(reports, &answers, sent_ms, self.now());
             }
-            Ok(Body::QuotaResponse(response)) if response.introduce => quota.introduces = true,
+            Ok(Body::QuotaResponse(response)) if response.needs_full_report => quota.introduces = true,
             _ => telemetry::count("quota_requests_missed"),
         }
     }
