--- a/crates/raft/src/node.rs
+++ b/crates/raft/src/node.rs
@@ -357,7 +357,7 @@
                     self.become_follower(now, out);
                     return;
                 }
-                if m.blank {
+                if m.leaderless_since_start {
                     self.startup_responses.insert(m.from.clone(), m.index > 0);
                 }
                 if m.ok {
--- a/crates/raft/src/node/election.rs
+++ b/crates/raft/src/node/election.rs
@@ -151,7 +151,7 @@
             self.defer_to_rival(now, &m, log_up_to_date);
             r.term = m.term;
             r.ok = !leader_active && log_up_to_date && m.term > self.hard.term && self.hard.may_vote;
-            r.blank = self.leaderless_since_start && self.role != StateRole::Leader;
+            r.leaderless_since_start = self.leaderless_since_start && self.role != StateRole::Leader;
             r.index = u64::from(log_up_to_date && self.hard.may_vote);
             r.log_term = self.hard.term;
             out.push(Effect::Send(m.from, r));
--- a/crates/rpc/src/messages/raft.rs
+++ b/crates/rpc/src/messages/raft.rs
@@ -53,7 +53,7 @@
     pub round: u64,
     /// Reply to a pre-vote: the voter has not heard of any leader since its process started.
     #[prost(bool, tag = "14")]
-    pub blank: bool,
+    pub leaderless_since_start: bool,
     /// With `InstallSnapshot`: offset of this chunk in bytes; in its reply: number of bytes held.
     /// With `readmit`: identifies the incarnation that asks.
     #[prost(uint64, tag = "15")]
