--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,6 +1,6 @@
 //! Stand-in clients: they send messages and note what they were answered.
 
-use crate::http::{KeptConnection, Response, exchange};
+use crate::http::{PersistentConnection, Response, exchange};
 use std::time::{Duration, Instant};
 
 /// How long a client waits for an answer.
@@ -92,21 +92,21 @@
 }
 
 /// A client that uses its connection until that is closed.
-pub struct KeepingClient {
+pub struct PersistentClient {
     front: String,
-    connection: Option<KeptConnection>,
+    connection: Option<PersistentConnection>,
 }
 
-impl KeepingClient {
+impl PersistentClient {
     /// One of a front.
-    pub fn new(front: &str) -> KeepingClient {
-        KeepingClient { front: front.to_owned(), connection: None }
+    pub fn new(front: &str) -> PersistentClient {
+        PersistentClient { front: front.to_owned(), connection: None }
     }
 
     /// Sends a message to its front.
     pub fn send(&mut self, message: Message) -> Sent {
         let sent = Instant::now();
-        let mut connection = self.connection.take().or_else(|| KeptConnection::open(&self.front, PATIENCE));
+        let mut connection = self.connection.take().or_else(|| PersistentConnection::open(&self.front, PATIENCE));
         let answer = connection.as_mut().and_then(|connection| connection.exchange(&request_of(&message, "")));
         let is_kept = answer.as_ref().is_some_and(|answer| answer.header("Connection").is_none());
         self.connection = connection.filter(|_| is_kept);
--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -59,10 +59,10 @@
     },
     /// Something did not come about in time.
     #[error("not in time: {0}")]
-    Late(String),
+    Timeout(String),
     /// The operator's client was refused.
     #[error("ctl {0}")]
-    Refused(String),
+    CtlFailed(String),
 }
 
 /// What may differ from one cluster to another.
@@ -207,7 +207,7 @@
         let mut command = Command::new(&self.program);
         command.args(["ctl", "--json", "--within", "5", "--at", &at.join(",")]).args(arguments);
         let output = command.output().map_err(|source| ClusterError::Process { name: "ctl".into(), source })?;
-        let refused = || ClusterError::Refused(String::from_utf8_lossy(&output.stderr).into_owned());
+        let refused = || ClusterError::CtlFailed(String::from_utf8_lossy(&output.stderr).into_owned());
         if !output.status.success() {
             return Err(refused());
         }
@@ -289,13 +289,13 @@
     }
 
     /// Kills a process and empties its disk; it is started again with `spawn`.
-    pub fn lose_disk(&mut self, name: &str) {
+    pub fn kill_and_wipe_disk(&mut self, name: &str) {
         self.kill(name);
         let _ = fs::remove_dir_all(self.folder.join(name));
     }
 
     /// Where its settings, logs and data are.
-    pub fn folder(&self) -> &Path {
+    pub fn dir(&self) -> &Path {
         &self.folder
     }
 
@@ -305,7 +305,7 @@
     }
 
     /// Processes that ended by themselves.
-    pub fn ended(&mut self) -> Vec<String> {
+    pub fn exited_processes(&mut self) -> Vec<String> {
         let ended = self.running.iter_mut().filter_map(|(name, child)| match child.try_wait() {
             Ok(Some(_)) => Some(name.clone()),
             _ => None,
@@ -365,7 +365,7 @@
     let end = Instant::now() + limit;
     while !is_so() {
         if Instant::now() >= end {
-            return Err(ClusterError::Late(what.to_owned()));
+            return Err(ClusterError::Timeout(what.to_owned()));
         }
         std::thread::sleep(POLL);
     }
--- a/crates/soak/src/day.rs
+++ b/crates/soak/src/durability.rs
@@ -60,7 +60,7 @@
 
 /// What happens to a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Trouble {
+pub enum ProcessFault {
     /// It is killed, and started again.
     Kill,
     /// It is told to end, and started again.
@@ -86,24 +86,24 @@
 
 /// What became of a day that should not have.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum DayViolation {
+pub enum DurabilityViolation {
     /// The body of a waiting message did not come back: its name, and the last status.
     BodyLost(String, u16),
     /// Another body came back.
-    BodyDiffers(String),
+    BodyMismatch(String),
     /// The state of a waiting message did not come back as pending: its name, and the last answer.
     StateLost(String, String),
     /// A process raised an alarm.
     Alarm(String),
     /// A process ended by itself.
-    Ended(String),
+    Exited(String),
 }
 
 /// What came of a day.
 #[derive(Clone, Debug)]
-pub struct DayVerdict {
+pub struct DurabilityVerdict {
     /// What should not have been.
-    pub violations: Vec<DayViolation>,
+    pub violations: Vec<DurabilityViolation>,
     /// Waiting messages that were accepted.
     pub accepted: usize,
     /// Waiting messages that were asked for.
@@ -114,7 +114,7 @@
     pub closing: ClosingFault,
 }
 
-impl fmt::Display for DayVerdict {
+impl fmt::Display for DurabilityVerdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{} waiting, {} asked for, closing fault {:?}", self.accepted, self.asked, self.closing)?;
         if self.violations.is_empty() {
@@ -136,7 +136,7 @@
 ///
 /// # Errors
 /// The cluster cannot be started, or a process cannot be signalled.
-pub fn run_day(program: &Path, plan: &DayPlan) -> Result<DayVerdict, ClusterError> {
+pub fn run_day(program: &Path, plan: &DayPlan) -> Result<DurabilityVerdict, ClusterError> {
     let processor = Processor::start().map_err(|source| ClusterError::Process { name: "processor".into(), source })?;
     let options = ClusterOptions {
         network: plan.network.clone(),
@@ -147,7 +147,7 @@
     let mut cluster = Cluster::new(program, options)?;
     cluster.start(&configuration(&processor))?;
     let fronts = cluster.fronts();
-    let load = Load::start(cluster.folder(), plan.writers, plan.spinners);
+    let load = Load::start(cluster.dir(), plan.writers, plan.spinners);
     let (accepted, is_over) = (Mutex::new(Vec::new()), AtomicBool::new(false));
     let mut rng = StdRng::seed_from_u64(plan.seed);
     let played = std::thread::scope(|scope| {
@@ -169,13 +169,13 @@
         waiting.swap_remove(at);
     }
     let mut violations = ask_for_all(&fronts, &waiting);
-    violations.extend(cluster.ended().into_iter().map(DayViolation::Ended));
+    violations.extend(cluster.exited_processes().into_iter().map(DurabilityViolation::Exited));
     for name in cluster.all_processes() {
         let log = cluster.log(&name);
         let alarms = log.lines().filter(|line| line.contains("ALARM"));
-        violations.extend(alarms.map(|line| DayViolation::Alarm(format!("{name}: {line}"))));
+        violations.extend(alarms.map(|line| DurabilityViolation::Alarm(format!("{name}: {line}"))));
     }
-    Ok(DayVerdict { violations, accepted, asked: waiting.len(), troubles, closing })
+    Ok(DurabilityVerdict { violations, accepted, asked: waiting.len(), troubles, closing })
 }
 
 fn configuration(processor: &Processor) -> serde_json::Value {
@@ -225,7 +225,7 @@
     let others: Vec<String> = cluster.all_processes().into_iter().filter(|name| !counted.contains(name)).collect();
     let mut troubles = Vec::new();
     let (mut next_counted, mut next_front) = (begun + SETTLE / 4, begun + SETTLE / 4);
-    let mut away: Vec<(Instant, Trouble, String)> = Vec::new();
+    let mut away: Vec<(Instant, ProcessFault, String)> = Vec::new();
     while begun.elapsed() < length || !away.is_empty() {
         let now = Instant::now();
         let (over, left) = away.into_iter().partition(|(until, ..)| now >= *until);
@@ -241,10 +241,10 @@
             }
             let has_disk = counted.contains(name);
             let trouble = match rng.random_range(0..if has_disk { 4 } else { 3 }) {
-                0 => Trouble::Kill,
-                1 => Trouble::Terminate,
-                2 => Trouble::Pause,
-                _ => Trouble::DiskLost,
+                0 => ProcessFault::Kill,
+                1 => ProcessFault::Terminate,
+                2 => ProcessFault::Pause,
+                _ => ProcessFault::DiskLost,
             };
             begin(cluster, trouble, name)?;
             troubles.push(format!("{:.2} s: {trouble:?} {name}", begun.elapsed().as_secs_f64()));
@@ -259,21 +259,21 @@
     Ok(troubles)
 }
 
-fn begin(cluster: &mut Cluster, trouble: Trouble, name: &str) -> Result<(), ClusterError> {
+fn begin(cluster: &mut Cluster, trouble: ProcessFault, name: &str) -> Result<(), ClusterError> {
     match trouble {
-        Trouble::Kill => cluster.kill(name),
-        Trouble::Terminate => cluster.signal(name, "-TERM")?,
-        Trouble::Pause => cluster.signal(name, "-STOP")?,
-        Trouble::DiskLost => cluster.lose_disk(name),
+        ProcessFault::Kill => cluster.kill(name),
+        ProcessFault::Terminate => cluster.signal(name, "-TERM")?,
+        ProcessFault::Pause => cluster.signal(name, "-STOP")?,
+        ProcessFault::DiskLost => cluster.kill_and_wipe_disk(name),
     }
     Ok(())
 }
 
-fn end(cluster: &mut Cluster, trouble: Trouble, name: &str) -> Result<(), ClusterError> {
+fn end(cluster: &mut Cluster, trouble: ProcessFault, name: &str) -> Result<(), ClusterError> {
     match trouble {
-        Trouble::Pause => cluster.signal(name, "-CONT"),
-        Trouble::Kill | Trouble::DiskLost => cluster.spawn(name),
-        Trouble::Terminate => {
+        ProcessFault::Pause => cluster.signal(name, "-CONT"),
+        ProcessFault::Kill | ProcessFault::DiskLost => cluster.spawn(name),
+        ProcessFault::Terminate => {
             let _ = cluster.terminate(name);
             cluster.spawn(name)
         }
@@ -299,7 +299,7 @@
         cluster.kill(name);
     }
     if matches!(closing, ClosingFault::DiskLost | ClosingFault::AllKilledAndDiskLost) {
-        cluster.lose_disk(&emptied);
+        cluster.kill_and_wipe_disk(&emptied);
     }
     for name in &counted {
         cluster.spawn(name)?;
@@ -313,7 +313,7 @@
 }
 
 /// Asks for the bodies and states of messages, at one front after the other, until they come back.
-fn ask_for_all(fronts: &[String], waiting: &[Waiting]) -> Vec<DayViolation> {
+fn ask_for_all(fronts: &[String], waiting: &[Waiting]) -> Vec<DurabilityViolation> {
     let end = Instant::now() + PATIENCE;
     let violations = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -332,7 +332,7 @@
     violations.into_inner().unwrap_or_default()
 }
 
-fn ask_for(fronts: &[String], message: &Waiting, end: Instant) -> Option<DayViolation> {
+fn ask_for(fronts: &[String], message: &Waiting, end: Instant) -> Option<DurabilityViolation> {
     let again = |path: &str| {
         let mut answer = (0, String::new());
         for front in fronts.iter().cycle() {
@@ -346,11 +346,11 @@
     };
     let (status, body) = again(&format!("/message-body/{}", message.name));
     if status != 200 {
-        return Some(DayViolation::BodyLost(message.name.clone(), status));
+        return Some(DurabilityViolation::BodyLost(message.name.clone(), status));
     }
     if body != message.body {
-        return Some(DayViolation::BodyDiffers(message.name.clone()));
+        return Some(DurabilityViolation::BodyMismatch(message.name.clone()));
     }
     let (_, state) = again(&format!("/message/{}", message.name));
-    (!state.contains("\"pending\"")).then(|| DayViolation::StateLost(message.name.clone(), state))
+    (!state.contains("\"pending\"")).then(|| DurabilityViolation::StateLost(message.name.clone(), state))
 }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -13,22 +13,22 @@
     /// A process is stopped, and goes on at the end: to others it is cut off silently.
     Pause,
     /// The processors of a service answer nothing, as behind a cut.
-    ServiceCut,
+    ServiceUnresponsive,
     /// The processors of a service lose some answers of runs.
-    AnswersLost,
+    ResponsesLost,
     /// A process is told to end, and started again once it has: it alone of its machine.
     Terminate,
     /// A process is told to read its settings again.
     Hangup,
     /// The processors of a service give some answers twice.
-    AnswersTwice,
+    ResponsesDuplicated,
     /// The processors of a service spoil some headers.
-    HeadersSpoilt,
+    HeadersCorrupted,
     /// The operator gives the route other services or weights.
     RouteChange,
     /// The operator adds a route inside another one; it stays, as messages on a route that is
     /// removed are dead.
-    RouteInside,
+    NestedRouteAdded,
     /// A store machine is added to the region that has too few; it stays.
     StoreAdded,
 }
@@ -91,11 +91,11 @@
         3..6 => FaultKind::Pause,
         6..9 => FaultKind::Terminate,
         9 => FaultKind::Hangup,
-        10 => FaultKind::ServiceCut,
-        11 => FaultKind::AnswersLost,
-        12 => FaultKind::AnswersTwice,
-        13 => FaultKind::HeadersSpoilt,
-        14 | 15 => FaultKind::RouteInside,
+        10 => FaultKind::ServiceUnresponsive,
+        11 => FaultKind::ResponsesLost,
+        12 => FaultKind::ResponsesDuplicated,
+        13 => FaultKind::HeadersCorrupted,
+        14 | 15 => FaultKind::NestedRouteAdded,
         16 | 17 => FaultKind::StoreAdded,
         _ => FaultKind::RouteChange,
     };
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -26,17 +26,17 @@
 }
 
 /// A connection that carries one request after the other.
-pub struct KeptConnection {
+pub struct PersistentConnection {
     reader: BufReader<TcpStream>,
 }
 
-impl KeptConnection {
+impl PersistentConnection {
     /// Opens one.
-    pub fn open(addr: &str, limit: Duration) -> Option<KeptConnection> {
+    pub fn open(addr: &str, limit: Duration) -> Option<PersistentConnection> {
         let addr: SocketAddr = addr.parse().ok()?;
         let stream = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT).ok()?;
         stream.set_read_timeout(Some(limit)).ok()?;
-        Some(KeptConnection { reader: BufReader::new(stream) })
+        Some(PersistentConnection { reader: BufReader::new(stream) })
     }
 
     /// Sends a request and reads its response; `None` if the connection ends without a whole one.
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -10,7 +10,7 @@
 
 pub mod clients;
 mod cluster;
-mod day;
+mod durability;
 mod faults;
 mod http;
 mod load;
@@ -19,9 +19,9 @@
 mod verdict;
 
 pub use cluster::{Cluster, ClusterError, ClusterOptions, REGIONS};
-pub use day::{ClosingFault, DayPlan, DayVerdict, DayViolation, Trouble, run_day};
+pub use durability::{ClosingFault, DayPlan, DurabilityVerdict, DurabilityViolation, ProcessFault, run_day};
 pub use faults::{Fault, FaultKind, Schedule};
-pub use http::{KeptConnection, Response, exchange};
+pub use http::{PersistentConnection, Response, exchange};
 pub use processor::{Processor, Run};
 pub use run::{Plan, run};
 pub use verdict::{Verdict, Violation};
--- a/crates/soak/src/processor.rs
+++ b/crates/soak/src/processor.rs
@@ -18,7 +18,7 @@
     /// The id that the request bore.
     pub id: String,
     /// When it began.
-    pub began: Instant,
+    pub started: Instant,
     /// When its answer had been written whole; `None` while it runs, or if it was lost.
     pub answered: Option<Instant>,
 }
@@ -82,17 +82,17 @@
     }
 
     /// Loses the answer of one in so many runs; 0: of none.
-    pub fn lose_one_in(&self, runs: u32) {
+    pub fn drop_one_in(&self, runs: u32) {
         self.state.loses_one_in.store(runs, Ordering::Relaxed);
     }
 
     /// Gives one in so many answers a second time; 0: none.
-    pub fn repeat_one_in(&self, runs: u32) {
+    pub fn duplicate_one_in(&self, runs: u32) {
         self.state.repeats_one_in.store(runs, Ordering::Relaxed);
     }
 
     /// Spoils a header of one in so many answers; 0: of none.
-    pub fn spoil_one_in(&self, runs: u32) {
+    pub fn corrupt_one_in(&self, runs: u32) {
         self.state.spoils_one_in.store(runs, Ordering::Relaxed);
     }
 
@@ -169,6 +169,6 @@
 /// Notes that a run begins; its number.
 fn begin(state: &State, id: &str) -> usize {
     let mut runs = state.runs.lock().unwrap_or_else(PoisonError::into_inner);
-    runs.push(Run { id: id.to_owned(), began: Instant::now(), answered: None });
+    runs.push(Run { id: id.to_owned(), started: Instant::now(), answered: None });
     runs.len() - 1
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,6 +1,6 @@
 //! One soak: a cluster, its clients and the troubles of a seed.
 
-use crate::clients::{HOST, KeepingClient, Message, Sent, is_settled, send};
+use crate::clients::{HOST, Message, PersistentClient, Sent, is_settled, send};
 use crate::cluster::{Cluster, ClusterError, ClusterOptions, REGIONS};
 use crate::faults::{Fault, FaultKind, Schedule};
 use crate::processor::Processor;
@@ -94,7 +94,7 @@
     sent.sort_by_key(|sent| sent.sent);
     let mut verdict = world.judge(&front, &sent);
     if !is_back {
-        verdict.violations.push(Violation::NotBack);
+        verdict.violations.push(Violation::NotRecovered);
     }
     Ok(verdict)
 }
@@ -123,7 +123,7 @@
     all: &Mutex<Vec<Sent>>,
 ) {
     let mut rng = StdRng::seed_from_u64(plan.seed ^ ((client as u64 + 1) << 32));
-    let mut keeping = (client >= 2).then(|| KeepingClient::new(front));
+    let mut keeping = (client >= 2).then(|| PersistentClient::new(front));
     let mut recent: VecDeque<Message> = VecDeque::new();
     while !is_over.load(Ordering::Relaxed) {
         let number = numbers.fetch_add(1, Ordering::Relaxed);
@@ -240,15 +240,15 @@
             FaultKind::Pause => self.cluster.signal(&fault.target, "-STOP")?,
             FaultKind::Terminate => self.cluster.signal(&fault.target, "-TERM")?,
             FaultKind::Hangup => self.cluster.signal(&fault.target, "-HUP")?,
-            FaultKind::ServiceCut => self.services[service].set_silent(true),
-            FaultKind::AnswersLost => self.services[service].lose_one_in(TROUBLED_ANSWERS),
-            FaultKind::AnswersTwice => self.services[service].repeat_one_in(TROUBLED_ANSWERS),
-            FaultKind::HeadersSpoilt => self.services[service].spoil_one_in(TROUBLED_ANSWERS),
+            FaultKind::ServiceUnresponsive => self.services[service].set_silent(true),
+            FaultKind::ResponsesLost => self.services[service].drop_one_in(TROUBLED_ANSWERS),
+            FaultKind::ResponsesDuplicated => self.services[service].duplicate_one_in(TROUBLED_ANSWERS),
+            FaultKind::HeadersCorrupted => self.services[service].corrupt_one_in(TROUBLED_ANSWERS),
             FaultKind::RouteChange => {
                 self.target = json!({"mix": [{"plant": "service-0", "gain": 1}, {"plant": "service-1", "gain": 1}]});
                 self.configure();
             }
-            FaultKind::RouteInside => {
+            FaultKind::NestedRouteAdded => {
                 self.has_inside_route = true;
                 self.configure();
             }
@@ -271,15 +271,15 @@
                 let _ = self.cluster.terminate(&fault.target);
                 self.cluster.spawn(&fault.target)?;
             }
-            FaultKind::ServiceCut => self.services[service].set_silent(false),
-            FaultKind::AnswersLost => self.services[service].lose_one_in(0),
-            FaultKind::AnswersTwice => self.services[service].repeat_one_in(0),
-            FaultKind::HeadersSpoilt => self.services[service].spoil_one_in(0),
+            FaultKind::ServiceUnresponsive => self.services[service].set_silent(false),
+            FaultKind::ResponsesLost => self.services[service].drop_one_in(0),
+            FaultKind::ResponsesDuplicated => self.services[service].duplicate_one_in(0),
+            FaultKind::HeadersCorrupted => self.services[service].corrupt_one_in(0),
             FaultKind::RouteChange => {
                 self.target = json!({"plant": format!("service-{service}")});
                 self.configure();
             }
-            FaultKind::Hangup | FaultKind::RouteInside | FaultKind::StoreAdded => {}
+            FaultKind::Hangup | FaultKind::NestedRouteAdded | FaultKind::StoreAdded => {}
         }
         Ok(())
     }
@@ -297,7 +297,7 @@
         for accepted in sent.iter().filter(|sent| sent.status == 202) {
             while !is_settled(front, accepted) {
                 if Instant::now() >= end {
-                    violations.push(Violation::LeftLying(accepted.message.id.clone()));
+                    violations.push(Violation::NotSettled(accepted.message.id.clone()));
                     break;
                 }
                 std::thread::sleep(STEP);
@@ -305,13 +305,13 @@
         }
         let mut runs = self.services[0].runs();
         runs.extend(self.services[1].runs());
-        runs.sort_by_key(|run| run.began);
+        runs.sort_by_key(|run| run.started);
         judge_runs(sent, &runs, &mut violations);
         let of_limited = |sent: &&Sent| sent.message.tenant_key == LIMITED_KEY;
         let limited: Vec<Sent> = sent.iter().filter(of_limited).cloned().collect();
         let allowed = ((FLOW_PER_S * WINDOW.as_secs_f64() + SURGE) * (1.0 + OVERSHOOT) + SLACK) as usize;
         judge_limit(&limited, WINDOW, allowed, &mut violations);
-        violations.extend(self.cluster.ended().into_iter().map(Violation::Ended));
+        violations.extend(self.cluster.exited_processes().into_iter().map(Violation::Exited));
         for name in Cluster::processes() {
             let log = self.cluster.log(&name);
             let alarms = log.lines().filter(|line| line.contains("ALARM"));
--- a/crates/soak/src/verdict.rs
+++ b/crates/soak/src/verdict.rs
@@ -11,13 +11,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Violation {
     /// No message was accepted in time once all troubles were over.
-    NotBack,
+    NotRecovered,
     /// An accepted message was not settled in time.
-    LeftLying(String),
+    NotSettled(String),
     /// An accepted message never ran, though it is settled.
     NeverRan(String),
     /// A processor ran a message that no client sent.
-    Unasked(String),
+    UnknownRun(String),
     /// A message that was refused as not taken has run.
     RefusedAndRan(String),
     /// Two tries at one operation have both run.
@@ -44,7 +44,7 @@
     /// A process raised an alarm, as for an invariant.
     Alarm(String),
     /// A process ended by itself.
-    Ended(String),
+    Exited(String),
 }
 
 /// What came of a soak.
@@ -83,7 +83,7 @@
     }
     let sent: HashMap<&str, &Sent> = all.iter().map(|sent| (sent.message.id.as_str(), sent)).collect();
     for id in first_runs.keys().filter(|id| !sent.contains_key(**id)) {
-        violations.push(Violation::Unasked((*id).to_owned()));
+        violations.push(Violation::UnknownRun((*id).to_owned()));
     }
     let mut tries: BTreeMap<&str, Vec<&str>> = BTreeMap::new();
     for sent in all {
@@ -124,7 +124,7 @@
         order.sort_by_key(|sent| sent.sent);
         for pair in order.windows(2) {
             let end = ends.get(pair[0].message.id.as_str());
-            let began = first_runs.get(pair[1].message.id.as_str()).map(|run| run.began);
+            let began = first_runs.get(pair[1].message.id.as_str()).map(|run| run.started);
             let (Some(end), Some(began)) = (end, began) else { continue };
             if pair[0].answered <= pair[1].sent && began < *end {
                 let (first, second) = (pair[0].message.id.clone(), pair[1].message.id.clone());
