--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -75,7 +75,7 @@
     /// How many front machines it has, up to six; 0: one.
     pub front_count: usize,
     /// Whether its folder, with settings, logs and data, outlasts it.
-    pub keeps_folder: bool,
+    pub keep_dir: bool,
 }
 
 /// A cluster of processes; they end, and its folder goes, with the value.
@@ -94,7 +94,7 @@
             let _ = child.kill();
             let _ = child.wait();
         }
-        if !self.options.keeps_folder {
+        if !self.options.keep_dir {
             let _ = fs::remove_dir_all(&self.folder);
         }
     }
--- a/crates/soak/src/durability.rs
+++ b/crates/soak/src/durability.rs
@@ -41,7 +41,7 @@
 
 /// What to play.
 #[derive(Clone, Debug)]
-pub struct DayPlan {
+pub struct DurabilityPlan {
     /// Draws the troubles.
     pub seed: u64,
     /// How long messages are sent.
@@ -55,7 +55,7 @@
     /// How many threads are busy beside it.
     pub spinners: usize,
     /// Whether the cluster's folder is kept.
-    pub keeps_folder: bool,
+    pub keep_dir: bool,
 }
 
 /// What happens to a process.
@@ -107,7 +107,7 @@
     /// Waiting messages that were accepted.
     pub accepted: usize,
     /// Waiting messages that were asked for.
-    pub asked: usize,
+    pub checked: usize,
     /// The troubles, as they came.
     pub troubles: Vec<String>,
     /// What came at the end.
@@ -116,7 +116,7 @@
 
 impl fmt::Display for DurabilityVerdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} waiting, {} asked for, closing fault {:?}", self.accepted, self.asked, self.closing)?;
+        write!(f, "{} waiting, {} asked for, closing fault {:?}", self.accepted, self.checked, self.closing)?;
         if self.violations.is_empty() {
             return Ok(());
         }
@@ -136,12 +136,12 @@
 ///
 /// # Errors
 /// The cluster cannot be started, or a process cannot be signalled.
-pub fn run_day(program: &Path, plan: &DayPlan) -> Result<DurabilityVerdict, ClusterError> {
+pub fn run_durability(program: &Path, plan: &DurabilityPlan) -> Result<DurabilityVerdict, ClusterError> {
     let processor = Processor::start().map_err(|source| ClusterError::Process { name: "processor".into(), source })?;
     let options = ClusterOptions {
         network: plan.network.clone(),
         front_count: plan.front_count,
-        keeps_folder: plan.keeps_folder,
+        keep_dir: plan.keep_dir,
         ..ClusterOptions::default()
     };
     let mut cluster = Cluster::new(program, options)?;
@@ -175,7 +175,7 @@
         let alarms = log.lines().filter(|line| line.contains("ALARM"));
         violations.extend(alarms.map(|line| DurabilityViolation::Alarm(format!("{name}: {line}"))));
     }
-    Ok(DurabilityVerdict { violations, accepted, asked: waiting.len(), troubles, closing })
+    Ok(DurabilityVerdict { violations, accepted, checked: waiting.len(), troubles, closing })
 }
 
 fn configuration(processor: &Processor) -> serde_json::Value {
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -79,7 +79,7 @@
     }
 
     /// How many troubles are under way at most at once.
-    pub fn most_at_once(&self) -> usize {
+    pub fn max_concurrent(&self) -> usize {
         let during = |at: Duration| self.faults.iter().filter(|f| f.at <= at && at < f.at + f.length).count();
         self.faults.iter().map(|fault| during(fault.at)).max().unwrap_or(0)
     }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`Cluster`] runs the processes, [`Processor`] stands in for a service, [`clients`] send
 //! messages, [`Schedule`] draws the troubles of a seed, and [`Verdict`] says which rule was
-//! broken. [`run()`] puts them together for one seed. [`run_day`] plays a day with an end, after
+//! broken. [`run()`] puts them together for one seed. [`run_durability`] plays a day with an end, after
 //! which all that still waits is asked for.
 
 #![warn(missing_docs)]
@@ -19,7 +19,9 @@
 mod verdict;
 
 pub use cluster::{Cluster, ClusterError, ClusterOptions, REGIONS};
-pub use durability::{ClosingFault, DayPlan, DurabilityVerdict, DurabilityViolation, ProcessFault, run_day};
+pub use durability::{
+    ClosingFault, DurabilityPlan, DurabilityVerdict, DurabilityViolation, ProcessFault, run_durability,
+};
 pub use faults::{Fault, FaultKind, Schedule};
 pub use http::{PersistentConnection, Response, exchange};
 pub use processor::{Processor, Run};
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,7 +1,7 @@
 //! Runs soaks of many seeds, one after the other, and says which of them broke a rule.
 
 use clap::Parser;
-use soak::{DayPlan, Plan, Schedule, run, run_day};
+use soak::{DurabilityPlan, Plan, Schedule, run, run_durability};
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
@@ -55,9 +55,9 @@
     let length = Duration::from_secs(arguments.seconds);
     let network = arguments.network.clone();
     let pause = Duration::from_millis(15);
-    let plan = Plan { seed, length, pause, network, keeps_folder: arguments.keep };
+    let plan = Plan { seed, length, pause, network, keep_dir: arguments.keep };
     let schedule = Schedule::draw(seed, length);
-    let at_once = schedule.most_at_once();
+    let at_once = schedule.max_concurrent();
     match run(&arguments.program, &plan) {
         Ok(verdict) => {
             println!("seed {seed}, up to {at_once} troubles at once: {verdict}");
@@ -75,16 +75,16 @@
 
 /// Plays the day of a seed; whether it was clean.
 fn play_day(arguments: &Arguments, seed: u64, front_count: usize) -> bool {
-    let plan = DayPlan {
+    let plan = DurabilityPlan {
         seed,
         length: Duration::from_secs(arguments.seconds),
         network: arguments.network.clone(),
         front_count,
         writers: arguments.writers,
         spinners: arguments.spinners,
-        keeps_folder: arguments.keep,
+        keep_dir: arguments.keep,
     };
-    match run_day(&arguments.program, &plan) {
+    match run_durability(&arguments.program, &plan) {
         Ok(verdict) => {
             println!("day {seed}: {verdict}");
             verdict.violations.is_empty()
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -51,7 +51,7 @@
     /// The first three parts of the cluster's loopback addresses.
     pub network: String,
     /// Whether the cluster's folder is kept.
-    pub keeps_folder: bool,
+    pub keep_dir: bool,
 }
 
 /// A trouble that is under way.
@@ -176,7 +176,7 @@
         let options = ClusterOptions {
             network: plan.network.clone(),
             constraints,
-            keeps_folder: plan.keeps_folder,
+            keep_dir: plan.keep_dir,
             ..ClusterOptions::default()
         };
         let processor =
--- a/crates/willowslip/tests/soak.rs
+++ b/crates/willowslip/tests/soak.rs
@@ -1,7 +1,7 @@
 //! The short form of the soak: a few seeds, with the invariants on. Before the faults of the review
 //! were mended, each of these broke a rule: TWICE, ORDER, LOST by a header, LOST by a restart.
 
-use soak::{DayPlan, Plan, Schedule, run, run_day};
+use soak::{DurabilityPlan, Plan, Schedule, run, run_durability};
 use std::path::Path;
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 fn is_clean_for(length: Duration, seed: u64, network: &str) {
     let pause = Duration::from_millis(15);
-    let plan = Plan { seed, length, pause, network: network.into(), keeps_folder: false };
+    let plan = Plan { seed, length, pause, network: network.into(), keep_dir: false };
     let verdict = run(Path::new(env!("CARGO_BIN_EXE_willowslip")), &plan).expect("it runs");
     assert!(verdict.violations.is_empty(), "seed {seed}: {verdict}");
     assert!(verdict.accepted > 0, "seed {seed}: {verdict}");
@@ -48,10 +48,17 @@
 
 fn all_that_waits_comes_back(seed: u64, network: &str, front_count: usize, writers: usize) {
     let length = Duration::from_secs(10);
-    let plan =
-        DayPlan { seed, length, network: network.into(), front_count, writers, spinners: writers, keeps_folder: false };
-    let verdict = run_day(Path::new(env!("CARGO_BIN_EXE_willowslip")), &plan).expect("it runs");
-    assert!(verdict.violations.is_empty() && verdict.asked > 0, "seed {seed}: {verdict}");
+    let plan = DurabilityPlan {
+        seed,
+        length,
+        network: network.into(),
+        front_count,
+        writers,
+        spinners: writers,
+        keep_dir: false,
+    };
+    let verdict = run_durability(Path::new(env!("CARGO_BIN_EXE_willowslip")), &plan).expect("it runs");
+    assert!(verdict.violations.is_empty() && verdict.checked > 0, "seed {seed}: {verdict}");
 }
 
 #[test]
@@ -70,7 +77,7 @@
 fn troubles_overlap_and_a_seed_draws_the_same_ones_again() {
     let length = Duration::from_secs(60);
     let schedules: Vec<Schedule> = (0..20).map(|seed| Schedule::draw(seed, length)).collect();
-    assert!(schedules.iter().all(|schedule| (2..=5).contains(&schedule.most_at_once())));
+    assert!(schedules.iter().all(|schedule| (2..=5).contains(&schedule.max_concurrent())));
     assert_eq!(schedules[3].faults, Schedule::draw(3, length).faults);
     assert_ne!(schedules[3].faults, schedules[4].faults);
 }
