--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,10 +1,10 @@
-//! Soak test: the programs of the system as real processes on loopback, with stand-in processors
-//! and clients, under seeded troubles that overlap in time.
+//! Soak test: runs the system as real processes on loopback, with stub processors and clients,
+//! under overlapping faults that are drawn from a seed.
 //!
-//! [`Cluster`] runs the processes, [`Processor`] stands in for a service, [`clients`] send
-//! messages, [`Schedule`] draws the troubles of a seed, and [`Verdict`] says which rule was
-//! broken. [`run()`] puts them together for one seed. [`run_durability`] plays a day with an end, after
-//! which all that still waits is asked for.
+//! [`Cluster`] runs the processes, [`Processor`] is the stub of a service, [`clients`] send
+//! messages, [`Schedule`] draws the faults of a seed, and [`Verdict`] lists the violated rules.
+//! [`run()`] combines them for one seed. [`run_durability`] accepts delayed messages under faults and
+//! afterwards checks that those still pending can be read back.
 
 #![warn(missing_docs)]
 
