--- a/crates/soak/src/clients.rs
+++ b/crates/soak/src/clients.rs
@@ -1,64 +1,63 @@
-//! Stand-in clients: they send messages and note what they were answered.
+//! Test clients that send messages and record the responses.
 
 use crate::http::{PersistentConnection, Response, exchange};
 use std::time::{Duration, Instant};
 
-/// How long a client waits for an answer.
-const PATIENCE: Duration = Duration::from_secs(3);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The body of messages that name none.
-const USUAL_BODY: &str = "body";
+/// The body of messages whose `body` is empty.
+const DEFAULT_BODY: &str = "body";
 
 /// One message to send.
 #[derive(Clone, Debug, Default)]
 pub struct Message {
-    /// Its id, as `X-Attempt-Id`.
+    /// The message id, sent as `X-Attempt-Id`.
     pub id: String,
-    /// The path, below the route's prefix.
+    /// The request path, under the route's prefix.
     pub path: String,
-    /// Its order key; empty on routes without order.
+    /// The order key; empty on routes that do not keep order.
     pub order_key: String,
-    /// The tenant's key; empty where there are no tenants.
+    /// The tenant's key; empty if no tenants are configured.
     pub tenant_key: String,
-    /// The key of its operation; empty where operations have none.
+    /// The operation key; empty to send none.
     pub operation_key: String,
-    /// How long it is not to run.
+    /// The delay before delivery.
     pub delay: Duration,
-    /// Its bytes; where empty, others that are the same for all messages.
+    /// The message body; if empty, a fixed default is sent.
     pub body: String,
 }
 
-/// What became of a send.
+/// A sent message and its response.
 #[derive(Clone, Debug)]
 pub struct Sent {
-    /// The message.
+    /// The message that was sent.
     pub message: Message,
-    /// When its client began to send it.
+    /// When the client started to send it.
     pub sent: Instant,
-    /// When the answer was there.
+    /// When the response was complete, or the attempt had failed.
     pub answered: Instant,
-    /// The status; 0 without an answer.
+    /// The response status; 0 if there was no response.
     pub status: u16,
-    /// The message's name, by which its state is asked for; of a 202.
+    /// The name under which the message's state is queried, from a 202 response.
     pub name: String,
-    /// Whether `Retry-After` was told.
+    /// Whether the response had a `Retry-After` header.
     pub retry_after: bool,
 }
 
-/// The host of all routes of a soak.
+/// The host of all routes in soak tests.
 pub const HOST: &str = "soak.example";
 
 fn authorization(tenant_key: &str) -> String {
     if tenant_key.is_empty() { String::new() } else { format!("Authorization: Bearer {tenant_key}\r\n") }
 }
 
-/// A header's line; none for an empty value.
+/// The line of a header; empty if the value is empty.
 fn header_line(name: &str, value: &str) -> String {
     if value.is_empty() { String::new() } else { format!("{name}: {value}\r\n") }
 }
 
-fn request_of(message: &Message, connection: &str) -> String {
-    let body = if message.body.is_empty() { USUAL_BODY } else { &message.body };
+fn format_request(message: &Message, connection: &str) -> String {
+    let body = if message.body.is_empty() { DEFAULT_BODY } else { &message.body };
     let delay = if message.delay.is_zero() { String::new() } else { message.delay.as_millis().to_string() };
     format!(
         "POST {} HTTP/1.1\r\nHost: {HOST}\r\nX-Attempt-Id: {}\r\n{}{}{}{}Content-Length: {}\r\n{connection}\r\n{body}",
@@ -72,33 +71,33 @@
     )
 }
 
-fn sent_of(message: Message, sent: Instant, answer: Option<&Response>) -> Sent {
-    let header = |name: &str| answer.and_then(|answer| answer.header(name)).map(|value| value.trim().to_owned());
+fn record_response(message: Message, sent: Instant, response: Option<&Response>) -> Sent {
+    let header = |name: &str| response.and_then(|response| response.header(name)).map(|value| value.trim().to_owned());
     Sent {
         name: header("X-Message-Name").unwrap_or_default(),
         retry_after: header("Retry-After").is_some(),
-        status: answer.map_or(0, |answer| answer.status),
+        status: response.map_or(0, |response| response.status),
         message,
         sent,
         answered: Instant::now(),
     }
 }
 
-/// Sends a message to a front, on a connection of its own.
+/// Sends a message to a front on a new connection.
 pub fn send(front: &str, message: Message) -> Sent {
     let sent = Instant::now();
-    let answer = exchange(front, &request_of(&message, "Connection: close\r\n"), PATIENCE);
-    sent_of(message, sent, answer.as_ref())
+    let response = exchange(front, &format_request(&message, "Connection: close\r\n"), RESPONSE_TIMEOUT);
+    record_response(message, sent, response.as_ref())
 }
 
-/// A client that uses its connection until that is closed.
+/// A client that reuses its connection until the connection is closed.
 pub struct PersistentClient {
     front: String,
     connection: Option<PersistentConnection>,
 }
 
 impl PersistentClient {
-    /// One of a front.
+    /// Creates a client of a front; the connection is opened with the first message.
     pub fn new(front: &str) -> PersistentClient {
         PersistentClient { front: front.to_owned(), connection: None }
     }
@@ -106,20 +105,21 @@
     /// Sends a message to its front.
     pub fn send(&mut self, message: Message) -> Sent {
         let sent = Instant::now();
-        let mut connection = self.connection.take().or_else(|| PersistentConnection::open(&self.front, PATIENCE));
-        let answer = connection.as_mut().and_then(|connection| connection.exchange(&request_of(&message, "")));
-        let is_kept = answer.as_ref().is_some_and(|answer| answer.header("Connection").is_none());
-        self.connection = connection.filter(|_| is_kept);
-        sent_of(message, sent, answer.as_ref())
+        let mut connection =
+            self.connection.take().or_else(|| PersistentConnection::open(&self.front, RESPONSE_TIMEOUT));
+        let response = connection.as_mut().and_then(|connection| connection.exchange(&format_request(&message, "")));
+        let is_reusable = response.as_ref().is_some_and(|response| response.header("Connection").is_none());
+        self.connection = connection.filter(|_| is_reusable);
+        record_response(message, sent, response.as_ref())
     }
 }
 
-/// Whether a message is said to be settled.
+/// Whether the front reports the message as settled.
 pub fn is_settled(front: &str, sent: &Sent) -> bool {
     let request = format!(
         "GET /message/{} HTTP/1.1\r\nHost: {HOST}\r\n{}Connection: close\r\n\r\n",
         sent.name,
         authorization(&sent.message.tenant_key),
     );
-    exchange(front, &request, PATIENCE).is_some_and(|answer| answer.body.contains("\"settled\""))
+    exchange(front, &request, RESPONSE_TIMEOUT).is_some_and(|response| response.body.contains("\"settled\""))
 }
