--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,10 +1,9 @@
-//! HTTP/1.1 exchanges, on a connection of their own or on a kept one.
+//! A minimal HTTP/1.1 client, with one connection per request or a persistent one.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-/// How long a connection may take to open.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// A complete response.
@@ -18,28 +17,28 @@
 }
 
 impl Response {
-    /// The value of a header, by its name in any case.
+    /// The value of the first header with this name, compared case-insensitively.
     pub fn header(&self, name: &str) -> Option<&str> {
         let fields = self.head.lines().filter_map(|line| line.split_once(": "));
         fields.filter(|(field, _)| field.eq_ignore_ascii_case(name)).map(|(_, value)| value).next()
     }
 }
 
-/// A connection that carries one request after the other.
+/// A connection that carries several requests, one after the other.
 pub struct PersistentConnection {
     reader: BufReader<TcpStream>,
 }
 
 impl PersistentConnection {
-    /// Opens one.
-    pub fn open(addr: &str, limit: Duration) -> Option<PersistentConnection> {
+    /// Opens a connection; `read_timeout` applies to each read.
+    pub fn open(addr: &str, read_timeout: Duration) -> Option<PersistentConnection> {
         let addr: SocketAddr = addr.parse().ok()?;
         let stream = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT).ok()?;
-        stream.set_read_timeout(Some(limit)).ok()?;
+        stream.set_read_timeout(Some(read_timeout)).ok()?;
         Some(PersistentConnection { reader: BufReader::new(stream) })
     }
 
-    /// Sends a request and reads its response; `None` if the connection ends without a whole one.
+    /// Sends a request and reads its response; `None` if the response is incomplete.
     pub fn exchange(&mut self, request: &str) -> Option<Response> {
         self.reader.get_mut().write_all(request.as_bytes()).ok()?;
         let mut head = String::new();
@@ -58,12 +57,13 @@
     }
 }
 
-/// Sends a request, which is to ask for `Connection: close`, and reads the response; `None`
-/// unless a whole head came within `limit`.
-pub fn exchange(addr: &str, request: &str, limit: Duration) -> Option<Response> {
+/// Sends a request on a new connection and reads the response until the server closes the
+/// connection, so the request must have `Connection: close`. `None` on an error, on an incomplete
+/// head or if a read takes longer than `read_timeout`.
+pub fn exchange(addr: &str, request: &str, read_timeout: Duration) -> Option<Response> {
     let addr: SocketAddr = addr.parse().ok()?;
     let mut stream = TcpStream::connect_timeout(&addr, CONNECT_TIMEOUT).ok()?;
-    stream.set_read_timeout(Some(limit)).ok()?;
+    stream.set_read_timeout(Some(read_timeout)).ok()?;
     stream.write_all(request.as_bytes()).ok()?;
     let mut text = String::new();
     stream.read_to_string(&mut text).ok()?;
