--- a/crates/soak/src/load.rs
+++ b/crates/soak/src/load.rs
@@ -1,4 +1,4 @@
-//! Other work on the machine: threads that write files and sync them, and threads that are busy.
+//! Background load on the machine: threads that write and sync files, and threads that spin.
 
 use std::fs::File;
 use std::hint::spin_loop;
@@ -8,49 +8,49 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::JoinHandle;
 
-/// How much a writer writes before it syncs.
 const BLOCK_BYTES: usize = 1 << 20;
-const BLOCKS: usize = 200;
-/// How often a busy thread turns before it looks whether it is to end.
-const TURNS: usize = 10_000;
+/// How many blocks a writer writes between two syncs.
+const BLOCKS_PER_SYNC: usize = 200;
+/// How many times a spinning thread spins between two checks of the stop flag.
+const SPINS_PER_CHECK: usize = 10_000;
 
-/// Threads that run until they are stopped.
+/// Load threads that run until they are stopped.
 pub struct Load {
-    is_over: Arc<AtomicBool>,
+    stop_flag: Arc<AtomicBool>,
     threads: Vec<JoinHandle<()>>,
 }
 
 impl Load {
-    /// Starts so many writers, with files in a folder, and so many busy threads.
-    pub fn start(folder: &Path, writers: usize, spinners: usize) -> Load {
-        let is_over = Arc::new(AtomicBool::new(false));
+    /// Starts the threads; the writers put their files into `dir`.
+    pub fn start(dir: &Path, writers: usize, spinners: usize) -> Load {
+        let stop_flag = Arc::new(AtomicBool::new(false));
         let mut threads = Vec::new();
         for number in 0..writers {
-            let (path, is_over) = (folder.join(format!("load-{number}")), is_over.clone());
-            threads.push(std::thread::spawn(move || write_until(&path, &is_over)));
+            let (path, stop_flag) = (dir.join(format!("load-{number}")), stop_flag.clone());
+            threads.push(std::thread::spawn(move || write_until_stopped(&path, &stop_flag)));
         }
         for _ in 0..spinners {
-            let is_over = is_over.clone();
-            threads.push(std::thread::spawn(move || spin_until(&is_over)));
+            let stop_flag = stop_flag.clone();
+            threads.push(std::thread::spawn(move || spin_until_stopped(&stop_flag)));
         }
-        Load { is_over, threads }
+        Load { stop_flag, threads }
     }
 
-    /// Ends the threads and waits for them.
+    /// Stops the threads and waits for them.
     pub fn stop(self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.stop_flag.store(true, Ordering::Relaxed);
         for thread in self.threads {
             let _ = thread.join();
         }
     }
 }
 
-fn write_until(path: &PathBuf, is_over: &AtomicBool) {
+fn write_until_stopped(path: &PathBuf, stop_flag: &AtomicBool) {
     let block = vec![0_u8; BLOCK_BYTES];
-    while !is_over.load(Ordering::Relaxed) {
+    while !stop_flag.load(Ordering::Relaxed) {
         let Ok(mut file) = File::create(path) else { return };
-        for _ in 0..BLOCKS {
-            if is_over.load(Ordering::Relaxed) || file.write_all(&block).is_err() {
+        for _ in 0..BLOCKS_PER_SYNC {
+            if stop_flag.load(Ordering::Relaxed) || file.write_all(&block).is_err() {
                 break;
             }
         }
@@ -59,9 +59,9 @@
     let _ = std::fs::remove_file(path);
 }
 
-fn spin_until(is_over: &AtomicBool) {
-    while !is_over.load(Ordering::Relaxed) {
-        for _ in 0..TURNS {
+fn spin_until_stopped(stop_flag: &AtomicBool) {
+    while !stop_flag.load(Ordering::Relaxed) {
+        for _ in 0..SPINS_PER_CHECK {
             spin_loop();
         }
     }
