--- a/crates/soak/src/cluster.rs
+++ b/crates/soak/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The processes of a small deployment on loopback: three control nodes, three store nodes and
-//! one to six front machines with their agents, and one more store node that may be added.
+//! The processes of a small deployment on loopback: three control nodes, three store nodes, one to
+//! six front machines with their agents, and a spare store node that can be added later.
 
 use std::collections::HashMap;
 use std::fs::{self, File};
@@ -9,83 +9,81 @@
 use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::{Duration, Instant};
 
-/// How many clusters this process has begun.
-static CLUSTERS: AtomicU16 = AtomicU16::new(0);
+/// The number of clusters that this process has created.
+static CLUSTER_COUNT: AtomicU16 = AtomicU16::new(0);
 
-/// Machines of each kind, by the last part of their loopback address.
+/// Machines of each kind, by the last octet of their loopback address.
 const CONTROL: std::ops::Range<u8> = 2..5;
 const STORE: std::ops::Range<u8> = 5..8;
-/// The first is 8.
 const FRONT_MACHINES: [u8; 6] = [8, 11, 12, 13, 14, 15];
-/// The machine of the store node that may be added; it stands in the region that has one.
+/// The machine of the spare store node. It is in the region that has only one other store node.
 const SPARE_STORE: u8 = 10;
-/// The zone of the southern region; the others are in the northern one.
+/// The zone in the southern region; the other zones are in the northern one.
 const SOUTHERN_ZONE: u8 = 1;
 /// The regions of all clusters.
 pub const REGIONS: [&str; 2] = ["north", "south"];
-/// Ports that a machine uses: four inner ones, the operator's, the clients' and the ready one.
-const PORTS: u16 = 7;
+/// Ports per machine: four internal ones, then those for operators, clients and readiness checks.
+const PORTS_PER_MACHINE: u16 = 7;
 const OPERATOR_PORT: u16 = 4;
 const CLIENT_PORT: u16 = 5;
 const READY_PORT: u16 = 6;
-/// Ports between two clusters.
-const CLUSTER_STEP: u16 = 20;
-/// `graceS` of the settings, and a little for the system.
-const GRACE: Duration = Duration::from_millis(4500);
-/// How often something that is waited for is looked at.
-const POLL: Duration = Duration::from_millis(50);
-
-/// Why a cluster cannot be run.
+/// The distance between two candidate base ports.
+const BASE_PORT_STEP: u16 = 20;
+/// `graceS` of the settings (4 s), with a margin for the operating system.
+const TERMINATION_TIMEOUT: Duration = Duration::from_millis(4500);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+
+/// Why an operation on a cluster failed.
 #[derive(Debug, thiserror::Error)]
 pub enum ClusterError {
-    /// No range of ports is free on all its addresses.
-    #[error("no free ports on {0}.x")]
+    /// No range of ports is free on all addresses of the cluster.
+    #[error("no range of ports is free on all machines of {0}.x and on 127.0.0.1")]
     NoPorts(String),
-    /// A file or folder of the cluster cannot be written.
+    /// A file or directory of the cluster cannot be written.
     #[error("{path}: {source}")]
     File {
-        /// Which one.
+        /// The path of the file or directory.
         path: PathBuf,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
     /// A process could not be started or signalled.
     #[error("process {name}: {source}")]
     Process {
-        /// The role and machine.
+        /// The name of the process: its role and machine.
         name: String,
-        /// What the system says.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Something did not come about in time.
-    #[error("not in time: {0}")]
+    /// A condition was not met within its time limit.
+    #[error("timed out waiting for {0}")]
     Timeout(String),
-    /// The operator's client was refused.
-    #[error("ctl {0}")]
+    /// `willowslip ctl` failed, or printed something other than JSON.
+    #[error("ctl failed: {0}")]
     CtlFailed(String),
 }
 
-/// What may differ from one cluster to another.
+/// Options of a cluster.
 #[derive(Clone, Debug, Default)]
 pub struct ClusterOptions {
-    /// The first three parts of its loopback addresses; clusters that run at once use others.
+    /// The first three octets of its loopback addresses; clusters that run concurrently must differ.
     pub network: String,
-    /// Lines for `[constraints]` besides the usual ones.
+    /// Additional lines for `[constraints]` in the settings.
     pub constraints: String,
-    /// How many front machines it has, up to six; 0: one.
+    /// The number of front machines, up to six; 0 means one.
     pub front_count: usize,
-    /// Whether its folder, with settings, logs and data, outlasts it.
+    /// Whether to keep its directory, with settings, logs and data, when it is dropped.
     pub keep_dir: bool,
 }
 
-/// A cluster of processes; they end, and its folder goes, with the value.
+/// A cluster of processes. Dropping it kills them, and removes its directory unless `keep_dir` is set.
 pub struct Cluster {
     program: PathBuf,
-    folder: PathBuf,
+    dir: PathBuf,
     options: ClusterOptions,
     base_port: u16,
     running: HashMap<String, Child>,
-    started: HashMap<String, u32>,
+    start_counts: HashMap<String, u32>,
 }
 
 impl Drop for Cluster {
@@ -95,39 +93,40 @@
             let _ = child.wait();
         }
         if !self.options.keep_dir {
-            let _ = fs::remove_dir_all(&self.folder);
+            let _ = fs::remove_dir_all(&self.dir);
         }
     }
 }
 
 impl Cluster {
-    /// A cluster of which nothing runs yet. `program` is the path of the `willowslip` binary.
+    /// Creates a cluster without starting its processes. `program` is the path of the `willowslip` binary.
     ///
     /// # Errors
-    /// No free ports, or its folder cannot be made.
+    /// No ports are free, or its directory cannot be created.
     pub fn new(program: &Path, options: ClusterOptions) -> Result<Cluster, ClusterError> {
         let is_free = |base: &u16| {
             let machines = CONTROL.start..=FRONT_MACHINES[FRONT_MACHINES.len() - 1];
-            let own = machines.map(|machine| format!("{}.{machine}", options.network));
-            let mut addresses = own.chain(["127.0.0.1".to_owned()]);
-            addresses.all(|ip| (*base..*base + PORTS).all(|port| TcpListener::bind((ip.as_str(), port)).is_ok()))
+            let machine_ips = machines.map(|machine| format!("{}.{machine}", options.network));
+            let mut addresses = machine_ips.chain(["127.0.0.1".to_owned()]);
+            addresses
+                .all(|ip| (*base..*base + PORTS_PER_MACHINE).all(|port| TcpListener::bind((ip.as_str(), port)).is_ok()))
         };
-        let number = CLUSTERS.fetch_add(1, Ordering::Relaxed);
-        let from = 20_000 + (std::process::id() % 100) as u16 * 200 + number % 10 * CLUSTER_STEP;
-        let base_port = (from..60_000).step_by(usize::from(CLUSTER_STEP)).find(is_free);
+        let number = CLUSTER_COUNT.fetch_add(1, Ordering::Relaxed);
+        let first_port = 20_000 + (std::process::id() % 100) as u16 * 200 + number % 10 * BASE_PORT_STEP;
+        let base_port = (first_port..60_000).step_by(usize::from(BASE_PORT_STEP)).find(is_free);
         let base_port = base_port.ok_or_else(|| ClusterError::NoPorts(options.network.clone()))?;
         let unique = format!("willowslip-soak-{}-{}-{base_port}", std::process::id(), options.network);
-        let folder = std::env::temp_dir().join(unique);
-        fs::create_dir_all(&folder).map_err(|source| ClusterError::File { path: folder.clone(), source })?;
+        let dir = std::env::temp_dir().join(unique);
+        fs::create_dir_all(&dir).map_err(|source| ClusterError::File { path: dir.clone(), source })?;
         let program = program.to_owned();
-        Ok(Cluster { program, folder, options, base_port, running: HashMap::new(), started: HashMap::new() })
+        Ok(Cluster { program, dir, options, base_port, running: HashMap::new(), start_counts: HashMap::new() })
     }
 
-    /// Starts every process; `config` is the operator's first configuration. Returns once the
-    /// fronts are ready.
+    /// Starts every process but the spare store node and submits `config` as the first
+    /// configuration. Returns once the fronts are ready.
     ///
     /// # Errors
-    /// A process does not start, or the cluster is not ready within a minute.
+    /// A process cannot be started, or the configuration or a front takes longer than a minute.
     pub fn start(&mut self, config: &serde_json::Value) -> Result<(), ClusterError> {
         for name in self.all_processes() {
             self.spawn(&name)?;
@@ -136,7 +135,7 @@
         self.wait_ready()
     }
 
-    /// The names of the processes that each cluster has: a role and a machine.
+    /// The names (role and machine) of the processes that every cluster has, with the first front machine.
     pub fn processes() -> Vec<String> {
         let first = FRONT_MACHINES[0];
         let fronts = [format!("front-{first}"), format!("agent-{first}")];
@@ -148,12 +147,12 @@
         CONTROL.map(|machine| format!("control-{machine}")).collect()
     }
 
-    /// The names of the first store nodes.
+    /// The names of the store nodes, without the spare one.
     pub fn stores() -> Vec<String> {
         STORE.map(|machine| format!("store-{machine}")).collect()
     }
 
-    /// The names of all processes of this cluster, but for a store node that is added.
+    /// The names of all processes of this cluster, without the spare store node.
     pub fn all_processes(&self) -> Vec<String> {
         let others = self.front_machines()[1..].iter();
         let others = others.flat_map(|machine| [format!("front-{machine}"), format!("agent-{machine}")]);
@@ -164,67 +163,69 @@
         &FRONT_MACHINES[..self.options.front_count.clamp(1, FRONT_MACHINES.len())]
     }
 
-    /// The name of the store node that may be added.
+    /// The name of the spare store node.
     pub fn spare_store() -> String {
         format!("store-{SPARE_STORE}")
     }
 
-    /// Whether a process runs, as far as is known.
+    /// Whether a process was started and not killed or terminated since; it may have exited by itself.
     pub fn is_running(&self, name: &str) -> bool {
         self.running.contains_key(name)
     }
 
-    /// The addresses at which clients reach it.
+    /// The addresses of the fronts for clients.
     pub fn fronts(&self) -> Vec<String> {
         let address = |machine: &u8| format!("{}:{}", self.ip(*machine), self.base_port + CLIENT_PORT);
         self.front_machines().iter().map(address).collect()
     }
 
-    /// Gives it a whole configuration, again until it is acknowledged.
+    /// Replaces the configuration, and retries until that is acknowledged.
     ///
     /// # Errors
     /// It is not acknowledged within a minute.
     pub fn configure(&self, config: &serde_json::Value) -> Result<(), ClusterError> {
-        wait_for("configuration", Duration::from_secs(60), || self.configure_once(config).is_ok())
+        wait_for("the configuration to be acknowledged", Duration::from_secs(60), || {
+            self.configure_once(config).is_ok()
+        })
     }
 
-    /// Gives it a whole configuration once.
+    /// Replaces the configuration, without retries.
     ///
     /// # Errors
-    /// It is not acknowledged, though it may be in force.
+    /// The request is not acknowledged; the configuration may be in effect nevertheless.
     pub fn configure_once(&self, config: &serde_json::Value) -> Result<(), ClusterError> {
-        let path = self.folder.join("config.json");
+        let path = self.dir.join("config.json");
         fs::write(&path, config.to_string()).map_err(|source| ClusterError::File { path: path.clone(), source })?;
         self.ctl(&["config", "replace", &path.display().to_string()]).map(|_| ())
     }
 
-    /// Runs the operator's client, and returns the JSON that it prints.
+    /// Runs `willowslip ctl` and returns the JSON that it prints.
     ///
     /// # Errors
-    /// It ends with a failure, or prints no JSON.
+    /// It exits with an error, or does not print JSON.
     pub fn ctl(&self, arguments: &[&str]) -> Result<serde_json::Value, ClusterError> {
         let at: Vec<String> = CONTROL.map(|m| format!("{}:{}", self.ip(m), self.base_port + OPERATOR_PORT)).collect();
         let mut command = Command::new(&self.program);
         command.args(["ctl", "--json", "--within", "5", "--at", &at.join(",")]).args(arguments);
         let output = command.output().map_err(|source| ClusterError::Process { name: "ctl".into(), source })?;
-        let refused = || ClusterError::CtlFailed(String::from_utf8_lossy(&output.stderr).into_owned());
+        let failure = || ClusterError::CtlFailed(String::from_utf8_lossy(&output.stderr).into_owned());
         if !output.status.success() {
-            return Err(refused());
+            return Err(failure());
         }
-        serde_json::from_slice(&output.stdout).map_err(|_| refused())
+        serde_json::from_slice(&output.stdout).map_err(|_| failure())
     }
 
-    /// Starts a process that does not run.
+    /// Starts a process that is not running.
     ///
     /// # Errors
-    /// Its settings cannot be written, or it does not start.
+    /// Its settings cannot be written, or it cannot be started.
     pub fn spawn(&mut self, name: &str) -> Result<(), ClusterError> {
-        let starts = self.started.entry(name.to_owned()).or_insert(0);
-        *starts += 1;
-        let is_first = *starts == 1 && name != Cluster::spare_store();
-        let data = self.folder.join(name);
-        let settings = self.folder.join(format!("{name}.toml"));
-        let log = self.folder.join(format!("{name}.log"));
+        let start_count = self.start_counts.entry(name.to_owned()).or_insert(0);
+        *start_count += 1;
+        let is_first = *start_count == 1 && name != Cluster::spare_store();
+        let data = self.dir.join(name);
+        let settings = self.dir.join(format!("{name}.toml"));
+        let log = self.dir.join(format!("{name}.log"));
         let file_error = |path: &Path| {
             let path = path.to_owned();
             move |source| ClusterError::File { path, source }
@@ -232,7 +233,7 @@
         fs::create_dir_all(&data).map_err(file_error(&data))?;
         fs::write(&settings, self.settings(name, is_first)).map_err(file_error(&settings))?;
         let log_file: File = File::options().create(true).append(true).open(&log).map_err(file_error(&log))?;
-        let (role, _) = split(name);
+        let (role, _) = split_name(name);
         let mut command = Command::new(&self.program);
         command.arg(role).env("WILLOWSLIP_SETTINGS", &settings).stderr(Stdio::from(log_file));
         let child = command.spawn().map_err(|source| ClusterError::Process { name: name.into(), source })?;
@@ -240,7 +241,7 @@
         Ok(())
     }
 
-    /// Sends a process a signal, as `-STOP`.
+    /// Sends a signal, such as `-STOP`, to a process; does nothing if it is not running.
     ///
     /// # Errors
     /// `kill` cannot be run.
@@ -250,14 +251,15 @@
         status.map(|_| ()).map_err(|source| ClusterError::Process { name: name.into(), source })
     }
 
-    /// Tells a process to end, as the platform does, and waits until it has.
+    /// Sends SIGTERM to a process, as the platform does, and waits until it has exited.
     ///
     /// # Errors
-    /// It runs on for longer than it is allowed to.
+    /// It did not exit within the grace period, and was killed.
     pub fn terminate(&mut self, name: &str) -> Result<(), ClusterError> {
         self.signal(name, "-TERM")?;
         let Some(mut child) = self.running.remove(name) else { return Ok(()) };
-        let waited = wait_for(&format!("the end of {name}"), GRACE, || matches!(child.try_wait(), Ok(Some(_))));
+        let waited =
+            wait_for(&format!("{name} to exit"), TERMINATION_TIMEOUT, || matches!(child.try_wait(), Ok(Some(_))));
         if waited.is_err() {
             let _ = child.kill();
             let _ = child.wait();
@@ -265,22 +267,23 @@
         waited
     }
 
-    /// Waits until the fronts are ready.
+    /// Waits until all fronts are ready.
     ///
     /// # Errors
-    /// They are not within a minute.
+    /// A front is not ready within a minute.
     pub fn wait_ready(&self) -> Result<(), ClusterError> {
         for front in self.front_machines() {
             let ready = format!("{}:{}", self.ip(*front), self.base_port + READY_PORT);
             let request = "GET /ready HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n";
-            let is_ready =
-                || crate::exchange(&ready, request, Duration::from_secs(1)).is_some_and(|answer| answer.status == 200);
-            wait_for("ready", Duration::from_secs(60), is_ready)?;
+            let is_ready = || {
+                crate::exchange(&ready, request, Duration::from_secs(1)).is_some_and(|response| response.status == 200)
+            };
+            wait_for(&format!("front-{front} to become ready"), Duration::from_secs(60), is_ready)?;
         }
         Ok(())
     }
 
-    /// Kills a process and waits for its end.
+    /// Kills a process and waits until it has exited.
     pub fn kill(&mut self, name: &str) {
         if let Some(mut child) = self.running.remove(name) {
             let _ = child.kill();
@@ -288,29 +291,29 @@
         }
     }
 
-    /// Kills a process and empties its disk; it is started again with `spawn`.
+    /// Kills a process and deletes its data; `spawn` starts it again.
     pub fn kill_and_wipe_disk(&mut self, name: &str) {
         self.kill(name);
-        let _ = fs::remove_dir_all(self.folder.join(name));
+        let _ = fs::remove_dir_all(self.dir.join(name));
     }
 
-    /// Where its settings, logs and data are.
+    /// The directory with the settings, logs and data of all processes.
     pub fn dir(&self) -> &Path {
-        &self.folder
+        &self.dir
     }
 
-    /// What a process has written so far, over all its starts.
+    /// The log of a process so far, over all its starts.
     pub fn log(&self, name: &str) -> String {
-        fs::read_to_string(self.folder.join(format!("{name}.log"))).unwrap_or_default()
+        fs::read_to_string(self.dir.join(format!("{name}.log"))).unwrap_or_default()
     }
 
-    /// Processes that ended by themselves.
+    /// The names of processes that exited by themselves.
     pub fn exited_processes(&mut self) -> Vec<String> {
-        let ended = self.running.iter_mut().filter_map(|(name, child)| match child.try_wait() {
+        let exited = self.running.iter_mut().filter_map(|(name, child)| match child.try_wait() {
             Ok(Some(_)) => Some(name.clone()),
             _ => None,
         });
-        ended.collect()
+        exited.collect()
     }
 
     fn ip(&self, machine: u8) -> String {
@@ -318,7 +321,7 @@
     }
 
     fn settings(&self, name: &str, is_first: bool) -> String {
-        let (role, machine) = split(name);
+        let (role, machine) = split_name(name);
         let (base, ip) = (self.base_port, self.ip(machine));
         let node = if role == "agent" { format!("front-{machine}") } else { name.to_owned() };
         let listen = match role {
@@ -340,7 +343,7 @@
             region(machine % 3),
             base + 3,
             seeds.join(","),
-            self.folder.join(name).display(),
+            self.dir.join(name).display(),
             self.options.constraints,
         )
     }
@@ -351,23 +354,23 @@
     REGIONS[usize::from(zone == SOUTHERN_ZONE)]
 }
 
-/// A process's role and machine.
-fn split(name: &str) -> (&str, u8) {
+/// Splits the name of a process into its role and machine.
+fn split_name(name: &str) -> (&str, u8) {
     let (role, machine) = name.split_once('-').unwrap_or((name, ""));
     (role, machine.parse().unwrap_or(0))
 }
 
-/// Waits until something is so.
+/// Polls a condition until it is met.
 ///
 /// # Errors
-/// It is not so within `limit`.
-fn wait_for(what: &str, limit: Duration, mut is_so: impl FnMut() -> bool) -> Result<(), ClusterError> {
-    let end = Instant::now() + limit;
-    while !is_so() {
-        if Instant::now() >= end {
+/// The condition is not met within `limit`.
+fn wait_for(what: &str, limit: Duration, mut is_met: impl FnMut() -> bool) -> Result<(), ClusterError> {
+    let deadline = Instant::now() + limit;
+    while !is_met() {
+        if Instant::now() >= deadline {
             return Err(ClusterError::Timeout(what.to_owned()));
         }
-        std::thread::sleep(POLL);
+        std::thread::sleep(POLL_INTERVAL);
     }
     Ok(())
 }
