--- a/crates/soak/src/processor.rs
+++ b/crates/soak/src/processor.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the processors of one service: an endpoint that notes what it ran, and that
-//! can lose answers or fall silent.
+//! A stub for the processors of one service: an HTTP endpoint that records the messages it ran and
+//! can drop, duplicate or corrupt responses, or stop responding.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -7,19 +7,19 @@
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How long a run takes.
-const WORK: Duration = Duration::from_millis(8);
-/// How often a silent processor looks whether it is to answer again.
-const SILENCE_POLL: Duration = Duration::from_millis(20);
+/// How long the stub takes to run a message.
+const RUN_TIME: Duration = Duration::from_millis(8);
+/// How often a silent processor checks whether it should respond again.
+const SILENCE_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// One run of a message.
 #[derive(Clone, Debug)]
 pub struct Run {
-    /// The id that the request bore.
+    /// The message id (`X-Attempt-Id`) of the request.
     pub id: String,
-    /// When it began.
+    /// When the run started.
     pub started: Instant,
-    /// When its answer had been written whole; `None` while it runs, or if it was lost.
+    /// When the response was fully written; `None` during the run, or if the response was not written.
     pub answered: Option<Instant>,
 }
 
@@ -27,89 +27,90 @@
 struct State {
     runs: Mutex<Vec<Run>>,
     silent: AtomicBool,
-    /// One in so many answers is lost; 0: none.
-    loses_one_in: AtomicU32,
-    /// One in so many answers comes a second time, before the next one of its connection; 0: none.
-    repeats_one_in: AtomicU32,
-    /// One in so many answers has a header that is none; 0: none.
-    spoils_one_in: AtomicU32,
+    /// Drops one in this many responses; 0 drops none.
+    drops_one_in: AtomicU32,
+    /// Sends one in this many responses twice, the second time just before the next response on its
+    /// connection; 0 duplicates none.
+    duplicates_one_in: AtomicU32,
+    /// Adds an invalid header to one in this many responses; 0 to none.
+    corrupts_one_in: AtomicU32,
     requests: AtomicU64,
 }
 
-/// Headers that are near to good ones.
-const SPOILT_HEADERS: [&str; 4] =
+/// Invalid headers that resemble valid ones.
+const INVALID_HEADERS: [&str; 4] =
     ["Keep-Alive: timeout=NaN", "Keep-Alive: timeout=-1", "X-Load: -1,99999999999999999999", "Retry-After: inf"];
 
-/// Whether the request of this number is one of one in so many.
-fn is_one_in(count: u64, rate: &AtomicU32) -> bool {
-    let rate = rate.load(Ordering::Relaxed);
-    rate > 0 && count.is_multiple_of(u64::from(rate))
+/// Whether `count` is a multiple of `interval`; never if `interval` is 0.
+fn is_nth(count: u64, interval: &AtomicU32) -> bool {
+    let interval = interval.load(Ordering::Relaxed);
+    interval > 0 && count.is_multiple_of(u64::from(interval))
 }
 
-/// A running stand-in. Its threads end with the process.
+/// A running stub. Its threads run until the test process exits.
 pub struct Processor {
     address: String,
     state: Arc<State>,
 }
 
 impl Processor {
-    /// Starts one on a free port of the loopback address.
+    /// Starts a stub on a free loopback port.
     ///
     /// # Errors
-    /// No port is free.
+    /// No port could be bound.
     pub fn start() -> std::io::Result<Processor> {
         let listener = TcpListener::bind("127.0.0.1:0")?;
         let address = listener.local_addr()?.to_string();
         let state = Arc::new(State::default());
-        let accepting = state.clone();
+        let listener_state = state.clone();
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let state = accepting.clone();
+                let state = listener_state.clone();
                 std::thread::spawn(move || serve(&state, stream));
             }
         });
         Ok(Processor { address, state })
     }
 
-    /// Its address, as a configuration names an `endpoint`.
+    /// Its address, in the format of `endpoint` in the configuration.
     pub fn address(&self) -> &str {
         &self.address
     }
 
-    /// Whether it answers nothing, as behind a cut.
+    /// Sets whether requests stay without a response, as behind a network partition.
     pub fn set_silent(&self, silent: bool) {
         self.state.silent.store(silent, Ordering::Relaxed);
     }
 
-    /// Loses the answer of one in so many runs; 0: of none.
+    /// Drops the response of one in `runs` runs; 0 drops none.
     pub fn drop_one_in(&self, runs: u32) {
-        self.state.loses_one_in.store(runs, Ordering::Relaxed);
+        self.state.drops_one_in.store(runs, Ordering::Relaxed);
     }
 
-    /// Gives one in so many answers a second time; 0: none.
+    /// Sends the response of one in `runs` runs twice; 0 duplicates none.
     pub fn duplicate_one_in(&self, runs: u32) {
-        self.state.repeats_one_in.store(runs, Ordering::Relaxed);
+        self.state.duplicates_one_in.store(runs, Ordering::Relaxed);
     }
 
-    /// Spoils a header of one in so many answers; 0: of none.
+    /// Adds an invalid header to the response of one in `runs` runs; 0 to none.
     pub fn corrupt_one_in(&self, runs: u32) {
-        self.state.spoils_one_in.store(runs, Ordering::Relaxed);
+        self.state.corrupts_one_in.store(runs, Ordering::Relaxed);
     }
 
-    /// What it ran so far, in the order in which runs began.
+    /// The runs so far, in the order in which they started.
     pub fn runs(&self) -> Vec<Run> {
         self.state.runs.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 }
 
-/// The headers of a request that matter here.
+/// The request headers that the stub uses.
 #[derive(Default)]
 struct Head {
     id: String,
     length: usize,
 }
 
-/// Reads a request's head; `None` at the end of the connection.
+/// Reads the head of a request; `None` if the connection is closed.
 fn read_head(reader: &mut BufReader<TcpStream>) -> Option<Head> {
     let mut head = Head::default();
     let mut line = String::new();
@@ -132,42 +133,43 @@
 
 fn serve(state: &State, stream: TcpStream) {
     let mut reader = BufReader::new(stream);
-    let mut surplus = String::new();
+    let mut duplicate = String::new();
     while let Some(head) = read_head(&mut reader) {
         let mut body = vec![0; head.length];
         if reader.read_exact(&mut body).is_err() {
             return;
         }
         while state.silent.load(Ordering::Relaxed) {
-            std::thread::sleep(SILENCE_POLL);
+            std::thread::sleep(SILENCE_POLL_INTERVAL);
         }
-        let number = begin(state, &head.id);
-        std::thread::sleep(WORK);
+        let index = record_start(state, &head.id);
+        std::thread::sleep(RUN_TIME);
         let count = state.requests.fetch_add(1, Ordering::Relaxed);
-        if is_one_in(count, &state.loses_one_in) {
+        if is_nth(count, &state.drops_one_in) {
             return;
         }
         let id = &head.id;
-        let spoilt = match is_one_in(count, &state.spoils_one_in) {
-            true => format!("{}\r\n", SPOILT_HEADERS[count as usize / 7 % SPOILT_HEADERS.len()]),
+        let invalid_header = match is_nth(count, &state.corrupts_one_in) {
+            true => format!("{}\r\n", INVALID_HEADERS[count as usize / 7 % INVALID_HEADERS.len()]),
             false => String::new(),
         };
-        let answer =
-            format!("HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Seal: s-{id}\r\n{spoilt}Content-Length: 2\r\n\r\nok");
-        let whole = std::mem::take(&mut surplus) + &answer;
-        if reader.get_mut().write_all(whole.as_bytes()).is_err() {
+        let response = format!(
+            "HTTP/1.1 200 OK\r\nX-Attempt-Id: {id}\r\nX-Seal: s-{id}\r\n{invalid_header}Content-Length: 2\r\n\r\nok"
+        );
+        let output = std::mem::take(&mut duplicate) + &response;
+        if reader.get_mut().write_all(output.as_bytes()).is_err() {
             return;
         }
-        if is_one_in(count, &state.repeats_one_in) {
-            surplus = answer;
+        if is_nth(count, &state.duplicates_one_in) {
+            duplicate = response;
         }
         let mut runs = state.runs.lock().unwrap_or_else(PoisonError::into_inner);
-        runs[number].answered = Some(Instant::now());
+        runs[index].answered = Some(Instant::now());
     }
 }
 
-/// Notes that a run begins; its number.
-fn begin(state: &State, id: &str) -> usize {
+/// Records the start of a run and returns its index.
+fn record_start(state: &State, id: &str) -> usize {
     let mut runs = state.runs.lock().unwrap_or_else(PoisonError::into_inner);
     runs.push(Run { id: id.to_owned(), started: Instant::now(), answered: None });
     runs.len() - 1
