--- a/crates/soak/src/durability.rs
+++ b/crates/soak/src/durability.rs
@@ -1,9 +1,9 @@
-//! A day with an end: messages that wait for a time far off are taken in at all fronts beside
-//! troubles; a closing fault comes; then their bodies and states are asked for at every front.
+//! Durability test: all fronts accept messages with a long delay while faults occur; after a closing
+//! fault, the bodies and states of these messages are read back from the fronts.
 //!
-//! What the deployment is to bear is kept: of the machines with a disk one is in trouble at a
-//! time, and for `settleS` after it. Writers of files and busy threads beside it are no trouble by
-//! that count: any machine may be busy.
+//! The faults stay within what the deployment must tolerate: only one of the machines with a disk
+//! has a fault at a time, and none starts within `settleS` after it. Background load (file writers
+//! and spinning threads) does not count as a fault, as any machine may be busy.
 
 use crate::clients::{HOST, Message, Sent, send};
 use crate::cluster::{Cluster, ClusterError, ClusterOptions};
@@ -19,120 +19,120 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-/// How long messages are delayed: none is due before the end.
-const DELAY: Duration = Duration::from_secs(400);
-/// The pause between two messages of a client.
-const PAUSE: Duration = Duration::from_millis(40);
-/// `settleS` of the settings: a machine in trouble counts as lost until so long after it, and the time
-/// that starting its process takes.
+/// The delay of messages; long enough that none is due before the test ends.
+const MESSAGE_DELAY: Duration = Duration::from_secs(400);
+/// The time between two messages of a client, and between two attempts to read one back.
+const SEND_INTERVAL: Duration = Duration::from_millis(40);
+/// `settleS` of the settings (4 s), for which a machine counts as lost after its fault, and the time
+/// that its process takes to start.
 const SETTLE: Duration = Duration::from_millis(4600);
-/// How long a process is away.
-const AWAY_MS: std::ops::Range<u64> = 200..2500;
-/// The pause between the ends and beginnings of troubles of front machines.
+/// How long a process is down or stopped.
+const FAULT_LENGTH_MS: std::ops::Range<u64> = 200..2500;
+/// The time between the end of a fault on a front machine and the start of the next one.
 const FRONT_GAP_MS: std::ops::Range<u64> = 500..3000;
-/// How many waiting messages are asked for.
-const ASKED: usize = 300;
-/// How long after the closing fault they are asked for, again and again.
-const PATIENCE: Duration = Duration::from_secs(20);
-/// How long one question may take.
-const ANSWER: Duration = Duration::from_secs(2);
-/// How many threads ask.
-const ASKERS: usize = 8;
+/// How many of the pending messages are read back.
+const MAX_CHECKED_MESSAGES: usize = 300;
+/// How long reading them back is retried after the closing fault.
+const READ_BACK_TIMEOUT: Duration = Duration::from_secs(20);
+/// The timeout of one query.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(2);
+/// The number of threads that read messages back.
+const READ_BACK_THREADS: usize = 8;
 
-/// What to play.
+/// The parameters of a durability test.
 #[derive(Clone, Debug)]
 pub struct DurabilityPlan {
-    /// Draws the troubles.
+    /// The seed from which faults are drawn.
     pub seed: u64,
-    /// How long messages are sent.
+    /// How long messages are sent while faults occur.
     pub length: Duration,
-    /// The first three parts of the cluster's loopback addresses.
+    /// The first three octets of the cluster's loopback addresses.
     pub network: String,
-    /// How many front machines there are.
+    /// The number of front machines.
     pub front_count: usize,
-    /// How many threads write files beside the cluster.
+    /// The number of background threads that write files.
     pub writers: usize,
-    /// How many threads are busy beside it.
+    /// The number of background threads that spin.
     pub spinners: usize,
-    /// Whether the cluster's folder is kept.
+    /// Whether to keep the cluster's directory.
     pub keep_dir: bool,
 }
 
-/// What happens to a process.
+/// A fault of one process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProcessFault {
-    /// It is killed, and started again.
+    /// The process is killed, and started again.
     Kill,
-    /// It is told to end, and started again.
+    /// The process gets SIGTERM, and is started again.
     Terminate,
-    /// It stands still for a while.
+    /// The process is stopped (SIGSTOP) for a while.
     Pause,
-    /// It is killed, and its disk is empty when it is started again.
+    /// The process is killed, and started again with an empty disk.
     DiskLost,
 }
 
-/// What comes at the end of the traffic.
+/// The fault after the end of the traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClosingFault {
-    /// Nothing.
+    /// No fault.
     None,
     /// One store node loses its disk.
     DiskLost,
     /// All store and control nodes are killed at once.
     AllKilled,
-    /// The same, and one store node loses its disk.
+    /// All store and control nodes are killed at once, and one store node loses its disk.
     AllKilledAndDiskLost,
 }
 
-/// What became of a day that should not have.
+/// A violation that the durability test found.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DurabilityViolation {
-    /// The body of a waiting message did not come back: its name, and the last status.
+    /// The body of a pending message could not be read back; its name and the last status.
     BodyLost(String, u16),
-    /// Another body came back.
+    /// The body of a pending message differs from the one that was sent; its name.
     BodyMismatch(String),
-    /// The state of a waiting message did not come back as pending: its name, and the last answer.
+    /// A message was not reported as pending; its name and the last response body.
     StateLost(String, String),
-    /// A process raised an alarm.
+    /// A process logged an alarm.
     Alarm(String),
-    /// A process ended by itself.
+    /// A process exited by itself.
     Exited(String),
 }
 
-/// What came of a day.
+/// The result of a durability test.
 #[derive(Clone, Debug)]
 pub struct DurabilityVerdict {
-    /// What should not have been.
+    /// The violations that were found.
     pub violations: Vec<DurabilityViolation>,
-    /// Waiting messages that were accepted.
+    /// The number of delayed messages that were accepted.
     pub accepted: usize,
-    /// Waiting messages that were asked for.
+    /// The number of messages that were read back.
     pub checked: usize,
-    /// The troubles, as they came.
-    pub troubles: Vec<String>,
-    /// What came at the end.
+    /// The faults in the order in which they started, with their times.
+    pub faults: Vec<String>,
+    /// The fault after the end of the traffic.
     pub closing: ClosingFault,
 }
 
 impl fmt::Display for DurabilityVerdict {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} waiting, {} asked for, closing fault {:?}", self.accepted, self.checked, self.closing)?;
+        write!(f, "{} pending, {} read back, closing fault {:?}", self.accepted, self.checked, self.closing)?;
         if self.violations.is_empty() {
             return Ok(());
         }
         write!(f, ", {} violations", self.violations.len())?;
         self.violations.iter().take(8).try_for_each(|violation| write!(f, "\n  {violation:?}"))?;
-        self.troubles.iter().try_for_each(|trouble| write!(f, "\n  {trouble}"))
+        self.faults.iter().try_for_each(|fault| write!(f, "\n  {fault}"))
     }
 }
 
-/// A message that waits, and how it was answered.
-struct Waiting {
+/// A delayed message that was accepted, with the name from the response.
+struct PendingMessage {
     name: String,
     body: String,
 }
 
-/// Plays one day with the `willowslip` binary at this path.
+/// Runs one durability test with the `willowslip` binary at this path.
 ///
 /// # Errors
 /// The cluster cannot be started, or a process cannot be signalled.
@@ -150,32 +150,32 @@
     let load = Load::start(cluster.dir(), plan.writers, plan.spinners);
     let (accepted, is_over) = (Mutex::new(Vec::new()), AtomicBool::new(false));
     let mut rng = StdRng::seed_from_u64(plan.seed);
-    let played = std::thread::scope(|scope| {
+    let faults = std::thread::scope(|scope| {
         for (number, front) in fronts.iter().enumerate() {
             let (accepted, is_over) = (&accepted, &is_over);
             scope.spawn(move || send_until_over(number, front, is_over, accepted));
         }
-        let played = play(&mut cluster, &mut rng, plan.length);
+        let faults = inject_faults(&mut cluster, &mut rng, plan.length);
         is_over.store(true, Ordering::Relaxed);
-        played
+        faults
     });
-    let troubles = played?;
-    let closing = close(&mut cluster, &mut rng)?;
+    let faults = faults?;
+    let closing = inject_closing_fault(&mut cluster, &mut rng)?;
     load.stop();
-    let mut waiting: Vec<Waiting> = accepted.into_inner().unwrap_or_default();
-    let accepted = waiting.len();
-    while waiting.len() > ASKED {
-        let at = rng.random_range(0..waiting.len());
-        waiting.swap_remove(at);
+    let mut pending: Vec<PendingMessage> = accepted.into_inner().unwrap_or_default();
+    let accepted = pending.len();
+    while pending.len() > MAX_CHECKED_MESSAGES {
+        let at = rng.random_range(0..pending.len());
+        pending.swap_remove(at);
     }
-    let mut violations = ask_for_all(&fronts, &waiting);
+    let mut violations = check_all(&fronts, &pending);
     violations.extend(cluster.exited_processes().into_iter().map(DurabilityViolation::Exited));
     for name in cluster.all_processes() {
         let log = cluster.log(&name);
         let alarms = log.lines().filter(|line| line.contains("ALARM"));
         violations.extend(alarms.map(|line| DurabilityViolation::Alarm(format!("{name}: {line}"))));
     }
-    Ok(DurabilityVerdict { violations, accepted, checked: waiting.len(), troubles, closing })
+    Ok(DurabilityVerdict { violations, accepted, checked: pending.len(), faults, closing })
 }
 
 fn configuration(processor: &Processor) -> serde_json::Value {
@@ -188,79 +188,80 @@
         "plants": [{"name": "service", "connLimit": 50, "endpoint": processor.address()}]})
 }
 
-/// One client: every message waits but each fourth, which is due at once. Half have order keys of
-/// their own, so that all partitions hold some.
-fn send_until_over(client: usize, front: &str, is_over: &AtomicBool, accepted: &Mutex<Vec<Waiting>>) {
+/// One client: sends messages until `is_over` is set. Every fourth one is due at once, the others are
+/// delayed. Half of them have a unique order key, so that the messages spread over all partitions.
+fn send_until_over(client: usize, front: &str, is_over: &AtomicBool, accepted: &Mutex<Vec<PendingMessage>>) {
     for number in 0.. {
         if is_over.load(Ordering::Relaxed) {
             return;
         }
         let id = format!("d{client}-{number}");
-        let (waits, is_ordered) = (number % 4 != 0, number % 2 == 0);
+        let (is_delayed, is_ordered) = (number % 4 != 0, number % 2 == 0);
         let body = format!("{id} ").repeat(1 + number % 60);
         let message = Message {
             path: if is_ordered { "/ordered/x" } else { "/plain/x" }.into(),
             order_key: if is_ordered { format!("k{id}") } else { String::new() },
-            delay: if waits { DELAY } else { Duration::ZERO },
+            delay: if is_delayed { MESSAGE_DELAY } else { Duration::ZERO },
             body: body.clone(),
             id,
             ..Message::default()
         };
         let Sent { status, name, .. } = send(front, message);
         if status == 202
-            && waits
+            && is_delayed
             && let Ok(mut all) = accepted.lock()
         {
-            all.push(Waiting { name, body });
+            all.push(PendingMessage { name, body });
         }
-        std::thread::sleep(PAUSE);
+        std::thread::sleep(SEND_INTERVAL);
     }
 }
 
-/// Plays troubles for a time: one after the other on the machines with a disk, and beside them on
-/// those of fronts.
-fn play(cluster: &mut Cluster, rng: &mut StdRng, length: Duration) -> Result<Vec<String>, ClusterError> {
-    let begun = Instant::now();
-    let counted: Vec<String> = Cluster::control_nodes().into_iter().chain(Cluster::stores()).collect();
-    let others: Vec<String> = cluster.all_processes().into_iter().filter(|name| !counted.contains(name)).collect();
-    let mut troubles = Vec::new();
-    let (mut next_counted, mut next_front) = (begun + SETTLE / 4, begun + SETTLE / 4);
-    let mut away: Vec<(Instant, ProcessFault, String)> = Vec::new();
-    while begun.elapsed() < length || !away.is_empty() {
+/// Injects faults for `length`: one at a time on the machines with a disk, and concurrently with
+/// these on the processes of front machines. Returns the descriptions of the faults.
+fn inject_faults(cluster: &mut Cluster, rng: &mut StdRng, length: Duration) -> Result<Vec<String>, ClusterError> {
+    let start = Instant::now();
+    let disk_processes: Vec<String> = Cluster::control_nodes().into_iter().chain(Cluster::stores()).collect();
+    let others: Vec<String> =
+        cluster.all_processes().into_iter().filter(|name| !disk_processes.contains(name)).collect();
+    let mut faults = Vec::new();
+    let (mut next_disk_fault, mut next_front_fault) = (start + SETTLE / 4, start + SETTLE / 4);
+    let mut active: Vec<(Instant, ProcessFault, String)> = Vec::new();
+    while start.elapsed() < length || !active.is_empty() {
         let now = Instant::now();
-        let (over, left) = away.into_iter().partition(|(until, ..)| now >= *until);
-        away = left;
-        for (_, trouble, name) in over {
-            end(cluster, trouble, &name)?;
+        let (ended, remaining) = active.into_iter().partition(|(until, ..)| now >= *until);
+        active = remaining;
+        for (_, fault, name) in ended {
+            end_fault(cluster, fault, &name)?;
         }
-        let until = now + Duration::from_millis(rng.random_range(AWAY_MS));
-        for (next, names) in [(&mut next_counted, &counted), (&mut next_front, &others)] {
+        let until = now + Duration::from_millis(rng.random_range(FAULT_LENGTH_MS));
+        for (next, names) in [(&mut next_disk_fault, &disk_processes), (&mut next_front_fault, &others)] {
             let name = &names[rng.random_range(0..names.len())];
-            if now < *next || begun.elapsed() >= length || away.iter().any(|(.., busy)| busy == name) {
+            if now < *next || start.elapsed() >= length || active.iter().any(|(.., busy)| busy == name) {
                 continue;
             }
-            let has_disk = counted.contains(name);
-            let trouble = match rng.random_range(0..if has_disk { 4 } else { 3 }) {
+            let has_disk = disk_processes.contains(name);
+            let fault = match rng.random_range(0..if has_disk { 4 } else { 3 }) {
                 0 => ProcessFault::Kill,
                 1 => ProcessFault::Terminate,
                 2 => ProcessFault::Pause,
                 _ => ProcessFault::DiskLost,
             };
-            begin(cluster, trouble, name)?;
-            troubles.push(format!("{:.2} s: {trouble:?} {name}", begun.elapsed().as_secs_f64()));
-            away.push((until, trouble, name.clone()));
+            start_fault(cluster, fault, name)?;
+            faults.push(format!("{:.2} s: {fault:?} {name}", start.elapsed().as_secs_f64()));
+            active.push((until, fault, name.clone()));
             let gap = Duration::from_millis(rng.random_range(FRONT_GAP_MS));
             *next = until + if has_disk { SETTLE } else { gap };
         }
         std::thread::sleep(Duration::from_millis(20));
     }
-    let settled = next_counted.saturating_duration_since(Instant::now());
-    std::thread::sleep(settled.min(SETTLE));
-    Ok(troubles)
+    let remaining_settle_time = next_disk_fault.saturating_duration_since(Instant::now());
+    std::thread::sleep(remaining_settle_time.min(SETTLE));
+    Ok(faults)
 }
 
-fn begin(cluster: &mut Cluster, trouble: ProcessFault, name: &str) -> Result<(), ClusterError> {
-    match trouble {
+fn start_fault(cluster: &mut Cluster, fault: ProcessFault, name: &str) -> Result<(), ClusterError> {
+    match fault {
         ProcessFault::Kill => cluster.kill(name),
         ProcessFault::Terminate => cluster.signal(name, "-TERM")?,
         ProcessFault::Pause => cluster.signal(name, "-STOP")?,
@@ -269,8 +270,8 @@
     Ok(())
 }
 
-fn end(cluster: &mut Cluster, trouble: ProcessFault, name: &str) -> Result<(), ClusterError> {
-    match trouble {
+fn end_fault(cluster: &mut Cluster, fault: ProcessFault, name: &str) -> Result<(), ClusterError> {
+    match fault {
         ProcessFault::Pause => cluster.signal(name, "-CONT"),
         ProcessFault::Kill | ProcessFault::DiskLost => cluster.spawn(name),
         ProcessFault::Terminate => {
@@ -280,28 +281,28 @@
     }
 }
 
-/// The closing fault that a seed draws.
-fn close(cluster: &mut Cluster, rng: &mut StdRng) -> Result<ClosingFault, ClusterError> {
+/// Draws the closing fault and injects it.
+fn inject_closing_fault(cluster: &mut Cluster, rng: &mut StdRng) -> Result<ClosingFault, ClusterError> {
     let stores = Cluster::stores();
-    let emptied = stores[rng.random_range(0..stores.len())].clone();
+    let wiped_store = stores[rng.random_range(0..stores.len())].clone();
     let closing = match rng.random_range(0..8) {
         0 => ClosingFault::None,
         1..4 => ClosingFault::DiskLost,
         4 | 5 => ClosingFault::AllKilled,
         _ => ClosingFault::AllKilledAndDiskLost,
     };
-    let counted: Vec<String> = match closing {
+    let killed: Vec<String> = match closing {
         ClosingFault::None => Vec::new(),
-        ClosingFault::DiskLost => vec![emptied.clone()],
+        ClosingFault::DiskLost => vec![wiped_store.clone()],
         _ => Cluster::control_nodes().into_iter().chain(stores).collect(),
     };
-    for name in &counted {
+    for name in &killed {
         cluster.kill(name);
     }
     if matches!(closing, ClosingFault::DiskLost | ClosingFault::AllKilledAndDiskLost) {
-        cluster.kill_and_wipe_disk(&emptied);
+        cluster.kill_and_wipe_disk(&wiped_store);
     }
-    for name in &counted {
+    for name in &killed {
         cluster.spawn(name)?;
     }
     Ok(closing)
@@ -309,21 +310,21 @@
 
 fn get(front: &str, path: &str) -> (u16, String) {
     let request = format!("GET {path} HTTP/1.1\r\nHost: {HOST}\r\nConnection: close\r\n\r\n");
-    exchange(front, &request, ANSWER).map_or((0, String::new()), |answer| (answer.status, answer.body))
+    exchange(front, &request, QUERY_TIMEOUT).map_or((0, String::new()), |response| (response.status, response.body))
 }
 
-/// Asks for the bodies and states of messages, at one front after the other, until they come back.
-fn ask_for_all(fronts: &[String], waiting: &[Waiting]) -> Vec<DurabilityViolation> {
-    let end = Instant::now() + PATIENCE;
+/// Reads back the bodies and states of messages, and retries at each front in turn until they are found.
+fn check_all(fronts: &[String], pending: &[PendingMessage]) -> Vec<DurabilityViolation> {
+    let deadline = Instant::now() + READ_BACK_TIMEOUT;
     let violations = Mutex::new(Vec::new());
     std::thread::scope(|scope| {
-        for part in waiting.chunks(waiting.len().div_ceil(ASKERS).max(1)) {
+        for chunk in pending.chunks(pending.len().div_ceil(READ_BACK_THREADS).max(1)) {
             let violations = &violations;
             scope.spawn(move || {
-                for message in part {
-                    let found = ask_for(fronts, message, end);
-                    if let (Some(found), Ok(mut all)) = (found, violations.lock()) {
-                        all.push(found);
+                for message in chunk {
+                    let violation = check_message(fronts, message, deadline);
+                    if let (Some(violation), Ok(mut all)) = (violation, violations.lock()) {
+                        all.push(violation);
                     }
                 }
             });
@@ -332,25 +333,25 @@
     violations.into_inner().unwrap_or_default()
 }
 
-fn ask_for(fronts: &[String], message: &Waiting, end: Instant) -> Option<DurabilityViolation> {
-    let again = |path: &str| {
-        let mut answer = (0, String::new());
+fn check_message(fronts: &[String], message: &PendingMessage, deadline: Instant) -> Option<DurabilityViolation> {
+    let get_with_retries = |path: &str| {
+        let mut response = (0, String::new());
         for front in fronts.iter().cycle() {
-            answer = get(front, path);
-            if answer.0 == 200 || Instant::now() >= end {
+            response = get(front, path);
+            if response.0 == 200 || Instant::now() >= deadline {
                 break;
             }
-            std::thread::sleep(PAUSE);
+            std::thread::sleep(SEND_INTERVAL);
         }
-        answer
+        response
     };
-    let (status, body) = again(&format!("/message-body/{}", message.name));
+    let (status, body) = get_with_retries(&format!("/message-body/{}", message.name));
     if status != 200 {
         return Some(DurabilityViolation::BodyLost(message.name.clone(), status));
     }
     if body != message.body {
         return Some(DurabilityViolation::BodyMismatch(message.name.clone()));
     }
-    let (_, state) = again(&format!("/message/{}", message.name));
+    let (_, state) = get_with_retries(&format!("/message/{}", message.name));
     (!state.contains("\"pending\"")).then(|| DurabilityViolation::StateLost(message.name.clone(), state))
 }
