--- a/examples/loopback.sh
+++ b/examples/loopback.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Runs a whole system on this machine: machines are 127.0.0.2 to 127.0.0.8.
-# Ends, and ends all that it started, with Ctrl-C.
+# Runs a complete deployment on this machine, with the addresses 127.0.0.2 to 127.0.0.8 as machines.
+# Ctrl-C stops the script and all processes that it started.
 set -eu
 bin=${1:-target/release/willowslip}
 dir=$(mktemp -d)
@@ -8,9 +8,9 @@
 trap 'kill "${pids[@]}" 2>/dev/null || true; wait; rm -rf "$dir"' EXIT
 trap 'exit 0' INT TERM
 
-start() { # role machine listen-lines
+start() { # arguments: role, last octet of the machine's address, lines for [listen]
     local ip=127.0.0.$2 name=$1-$2 node=$1-$2
-    # A front machine's two processes bear the machine's name.
+    # Both processes of a front machine have the front's node name.
     if [ "$1" = agent ]; then node=front-$2; fi
     mkdir -p "$dir/$name"
     cat > "$dir/$name.toml" <<SETTINGS
