--- a/examples/endpoint.py
+++ b/examples/endpoint.py
@@ -1,7 +1,7 @@
-"""A stand-in endpoint: runs every message, and prints messages and call-backs.
+"""A sample endpoint that runs every message, and prints messages and call-backs.
 
-Each answer repeats the X-Attempt-Id of its request. An answer without it might be
-the answer to another request, and is not taken for the message's end.
+Each response repeats the X-Attempt-Id of its request. A response without it might belong
+to another request, so the system does not regard the message as finished.
 """
 
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
