--- a/crates/http1/src/parse.rs
+++ b/crates/http1/src/parse.rs
@@ -79,34 +79,34 @@
 
 /// A request that is turned away; the connection closes behind it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Turned {
+pub struct RequestError {
     /// The status of the answer.
     pub status: u16,
     /// What is wrong, for the answer and the log.
-    pub why: &'static str,
+    pub reason: &'static str,
 }
 
-fn turned<T>(status: u16, why: &'static str) -> Result<T, Turned> {
-    Err(Turned { status, why })
+fn reject<T>(status: u16, reason: &'static str) -> Result<T, RequestError> {
+    Err(RequestError { status, reason })
 }
 
 /// The head of a request: None while it is not whole.
-pub fn take_head(buf: &mut BytesMut, bounds: &Bounds) -> Result<Option<(Request, Framing, bool)>, Turned> {
+pub fn take_head(buf: &mut BytesMut, bounds: &Bounds) -> Result<Option<(Request, Framing, bool)>, RequestError> {
     let mut store = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut store);
     let len = match head.parse(buf) {
         Ok(httparse::Status::Complete(n)) => n,
         Ok(httparse::Status::Partial) => {
             if buf.len() > bounds.header_bytes {
-                return turned(431, "header too large");
+                return reject(431, "header too large");
             }
             return Ok(None);
         }
-        Err(httparse::Error::TooManyHeaders) => return turned(431, "too many headers"),
-        Err(_) => return turned(400, "malformed request"),
+        Err(httparse::Error::TooManyHeaders) => return reject(431, "too many headers"),
+        Err(_) => return reject(400, "malformed request"),
     };
     if len > bounds.header_bytes {
-        return turned(431, "header too large");
+        return reject(431, "header too large");
     }
     let version = head.version.unwrap_or(0);
     let mut r = Request {
@@ -116,28 +116,28 @@
         ..Request::default()
     };
     if !r.path.starts_with('/') || r.path.bytes().any(|b| b <= b' ' || b == 0x7f) {
-        return turned(400, "malformed path");
+        return reject(400, "malformed path");
     }
     let (mut length, mut chunked, mut hosts, mut expect) = (None, false, 0, false);
     for h in head.headers.iter() {
         let Ok(value) = std::str::from_utf8(h.value) else {
-            return turned(400, "malformed header");
+            return reject(400, "malformed header");
         };
         let value = value.trim_matches([' ', '\t']);
         if value.bytes().any(|b| b < b' ' && b != b'\t') {
-            return turned(400, "malformed header");
+            return reject(400, "malformed header");
         }
         if h.name.eq_ignore_ascii_case("content-length") {
             if value.is_empty() || value.len() > 15 || !value.bytes().all(|b| b.is_ascii_digit()) {
-                return turned(400, "malformed length");
+                return reject(400, "malformed length");
             }
             if length.is_some() {
-                return turned(400, "repeated length");
+                return reject(400, "repeated length");
             }
             length = value.parse::<usize>().ok();
         } else if h.name.eq_ignore_ascii_case("transfer-encoding") {
             if chunked || !value.eq_ignore_ascii_case("chunked") {
-                return turned(if chunked { 400 } else { 501 }, "transfer encoding not known");
+                return reject(if chunked { 400 } else { 501 }, "transfer encoding not known");
             }
             chunked = true;
         } else if h.name.eq_ignore_ascii_case("host") {
@@ -148,7 +148,7 @@
             }
         } else if h.name.eq_ignore_ascii_case("expect") {
             if !value.eq_ignore_ascii_case("100-continue") {
-                return turned(417, "expectation not known");
+                return reject(417, "expectation not known");
             }
             expect = true;
         } else if h.name.eq_ignore_ascii_case("upgrade") {
@@ -157,14 +157,14 @@
         r.headers.push((h.name.to_owned(), value.to_owned()));
     }
     if hosts != 1 && version == 1 || hosts > 1 {
-        return turned(400, "wants one host");
+        return reject(400, "wants one host");
     }
     if chunked && (length.is_some() || version == 0) {
-        return turned(400, "both length and chunks");
+        return reject(400, "both length and chunks");
     }
     let framing = match (chunked, length) {
         (true, _) => Framing::Chunked,
-        (_, Some(n)) if n > bounds.body_bytes => return turned(413, "body too large"),
+        (_, Some(n)) if n > bounds.body_bytes => return reject(413, "body too large"),
         (_, Some(0)) | (_, None) => Framing::None,
         (_, Some(n)) => Framing::Length(n),
     };
@@ -191,15 +191,15 @@
 
 impl Chunks {
     /// Takes what there is; the whole body once it has ended.
-    pub fn take(&mut self, buf: &mut BytesMut, limit: usize) -> Result<Option<Bytes>, Turned> {
+    pub fn take(&mut self, buf: &mut BytesMut, limit: usize) -> Result<Option<Bytes>, RequestError> {
         loop {
             match self.stage {
                 Stage::Size | Stage::Trailer => {
                     let Some(end) = buf.iter().position(|b| *b == b'\n') else {
-                        return if buf.len() > 1024 { turned(400, "broken chunk") } else { Ok(None) };
+                        return if buf.len() > 1024 { reject(400, "broken chunk") } else { Ok(None) };
                     };
                     if end == 0 || buf[end - 1] != b'\r' {
-                        return turned(400, "broken chunk");
+                        return reject(400, "broken chunk");
                     }
                     let line = buf.split_to(end + 1);
                     let line = &line[..end - 1];
@@ -212,11 +212,11 @@
                     let digits = line.split(|b| *b == b';').next().unwrap_or(b"");
                     let text = std::str::from_utf8(digits).unwrap_or("").trim_end_matches([' ', '\t']);
                     if text.is_empty() || text.len() > 8 || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
-                        return turned(400, "broken chunk");
+                        return reject(400, "broken chunk");
                     }
                     self.left = usize::from_str_radix(text, 16).unwrap_or(usize::MAX);
                     if self.left > limit || self.body.len() + self.left > limit {
-                        return turned(413, "body too large");
+                        return reject(413, "body too large");
                     }
                     self.stage = if self.left == 0 { Stage::Trailer } else { Stage::Data };
                 }
@@ -236,7 +236,7 @@
                         return Ok(None);
                     }
                     if &buf[..2] != b"\r\n" {
-                        return turned(400, "broken chunk");
+                        return reject(400, "broken chunk");
                     }
                     buf.advance(2);
                     self.stage = Stage::Size;
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -159,12 +159,13 @@
         let mut request = match read_request(&mut stream, &mut buf, &bounds, &mut closing).await {
             Ok(Some(r)) => r,
             Ok(None) => return,
-            Err(t) => {
+            Err(error) => {
                 let b = bounds();
                 out.clear();
-                let limit = if t.status == 413 { format!(",\"limitBytes\":{}", b.body_bytes) } else { String::new() };
-                let body = format!("{{\"fault\":\"{}\"{limit}}}", t.why);
-                put_reply(&mut out, &Reply::json(t.status, body), false, false);
+                let limit =
+                    if error.status == 413 { format!(",\"limitBytes\":{}", b.body_bytes) } else { String::new() };
+                let body = format!("{{\"fault\":\"{}\"{limit}}}", error.reason);
+                put_reply(&mut out, &Reply::json(error.status, body), false, false);
                 let _ = stream.write_all(&out).await;
                 end_connection(&mut stream, b.header_ms / 10).await;
                 return;
@@ -241,7 +242,7 @@
     buf: &mut BytesMut,
     bounds: &impl Fn() -> Bounds,
     closing: &mut watch::Receiver<Closing>,
-) -> Result<Option<Request>, Turned> {
+) -> Result<Option<Request>, RequestError> {
     if buf.is_empty() {
         buf.reserve(2 << 10);
         tokio::select! {
@@ -300,7 +301,7 @@
     };
     match tokio::time::timeout(Duration::from_millis(bounds.header_ms), whole).await {
         Ok(r) => r,
-        Err(_) => Err(Turned { status: 408, why: "request came too slowly" }),
+        Err(_) => Err(RequestError { status: 408, reason: "request came too slowly" }),
     }
 }
 
--- a/crates/http1/tests/parse.rs
+++ b/crates/http1/tests/parse.rs
@@ -3,7 +3,7 @@
 use bytes::BytesMut;
 use http1::*;
 
-fn head(text: &str) -> Result<Option<(Request, Framing, bool)>, Turned> {
+fn head(text: &str) -> Result<Option<(Request, Framing, bool)>, RequestError> {
     take_head(&mut BytesMut::from(text), &Bounds { header_bytes: 512, body_bytes: 100, ..Bounds::default() })
 }
 
