--- a/crates/front/src/ingest.rs
+++ b/crates/front/src/ingest.rs
@@ -55,7 +55,7 @@
 
     fn bounds(&self) -> Bounds {
         let limits = &self.view.borrow().configuration.limits;
-        Bounds::told(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
+        Bounds::from_settings(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
     }
 
     /// Whether this front can serve clients; the result of the readiness probe.
--- a/crates/functions/src/gateway.rs
+++ b/crates/functions/src/gateway.rs
@@ -150,7 +150,7 @@
 
     fn request_bounds(&self) -> Bounds {
         let limits = &self.view.borrow().configuration.limits;
-        Bounds::told(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
+        Bounds::from_settings(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
     }
 
     /// Follows the local agent, and applies the cluster views that it sends.
--- a/crates/gateway/src/service.rs
+++ b/crates/gateway/src/service.rs
@@ -69,7 +69,7 @@
 
     fn bounds(&self) -> Bounds {
         let limits = &self.known.borrow().configuration.limits;
-        Bounds::told(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
+        Bounds::from_settings(limits.header_bytes, limits.body_bytes, limits.header_ms, limits.idle_ms)
     }
 
     async fn follow_cluster(self: Arc<Self>) {
--- a/crates/http1/src/parse.rs
+++ b/crates/http1/src/parse.rs
@@ -22,7 +22,7 @@
 
 impl Bounds {
     /// As a configuration tells them; what it leaves out stays as it is by default.
-    pub fn told(header_bytes: u64, body_bytes: u64, header_ms: f64, idle_ms: f64) -> Bounds {
+    pub fn from_settings(header_bytes: u64, body_bytes: u64, header_ms: f64, idle_ms: f64) -> Bounds {
         let mut b = Bounds::default();
         if header_bytes > 0 {
             b.header_bytes = header_bytes as usize;
