--- a/crates/front/src/ingest.rs
+++ b/crates/front/src/ingest.rs
@@ -151,7 +151,7 @@
     let _ = stop.wait_for(|stopped| *stopped).await;
     telemetry::change!("draining");
     let grace = Duration::from_millis((settings.constraints.grace_s * 1000.0) as u64);
-    http1::end_in_order(&front.closing, grace, silence_limit / 10, || worker.is_idle()).await;
+    http1::shut_down_gracefully(&front.closing, grace, silence_limit / 10, || worker.is_idle()).await;
     telemetry::report(&settings.node, &rpc::sent_frame_stats());
     Ok(())
 }
--- a/crates/functions/src/gateway.rs
+++ b/crates/functions/src/gateway.rs
@@ -214,7 +214,7 @@
     let _ = stop.wait_for(|is_stopping| *is_stopping).await;
     telemetry::change!("draining");
     let grace = Duration::from_millis((settings.constraints.grace_s * 1000.0) as u64);
-    http1::end_in_order(&gateway.closing, grace, silence / 10, || true).await;
+    http1::shut_down_gracefully(&gateway.closing, grace, silence / 10, || true).await;
     telemetry::report(&settings.node, &rpc::sent_frame_stats());
     Ok(())
 }
--- a/crates/functions/tests/gateway.rs
+++ b/crates/functions/tests/gateway.rs
@@ -416,7 +416,7 @@
     }
     let started_at = Instant::now();
     let grace = Duration::from_millis(2000);
-    http1::end_in_order(&gateway.closing, grace, Duration::from_millis(10), || true).await;
+    http1::shut_down_gracefully(&gateway.closing, grace, Duration::from_millis(10), || true).await;
     assert!(started_at.elapsed() < grace, "{:?}", started_at.elapsed());
     let mut statuses = Vec::new();
     for mut stream in clients {
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -114,7 +114,12 @@
 /// a whole answer: connections are ended by their answers first, then nothing new is taken,
 /// and at last what is unanswered still is told to answer. Returns early once there is
 /// none left and `idle` says that nothing else is under way; looks every `look`.
-pub async fn end_in_order(closing: &watch::Sender<Closing>, grace: Duration, look: Duration, idle: impl Fn() -> bool) {
+pub async fn shut_down_gracefully(
+    closing: &watch::Sender<Closing>,
+    grace: Duration,
+    look: Duration,
+    idle: impl Fn() -> bool,
+) {
     let begun = tokio::time::Instant::now();
     closing.send_replace(Closing::Draining);
     // The platform needs two misses and a little to send nobody here any more.
--- a/crates/http1/tests/clients.rs
+++ b/crates/http1/tests/clients.rs
@@ -231,7 +231,7 @@
     tokio::time::sleep(Duration::from_millis(50)).await;
     let begun = std::time::Instant::now();
     let grace = Duration::from_millis(2000);
-    let (_, mut late) = tokio::join!(end_in_order(&closing, grace, Duration::from_millis(5), || true), async {
+    let (_, mut late) = tokio::join!(shut_down_gracefully(&closing, grace, Duration::from_millis(5), || true), async {
         tokio::time::sleep(grace / 4).await;
         ask(300).await
     });
