--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -38,7 +38,7 @@
             // The process is about to end, so the client is answered at once.
             _ = closing.wait_for(|c| *c == Closing::Ending) => Err(Failure::not_run()),
             // The client has gone: the slot is released and the processor drops the request.
-            _ = client_request.request.departure.left(), if client_request.is_safe => {
+            _ = client_request.request.client_connection.closed(), if client_request.is_safe => {
                 telemetry::count("requests_abandoned");
                 Err(Failure::not_run())
             }
--- a/crates/gateway/src/forward.rs
+++ b/crates/gateway/src/forward.rs
@@ -70,7 +70,7 @@
             // The process is about to end, so the reply is given from what is known by now.
             _ = closing.wait_for(|phase| *phase == Closing::Ending) => Err(Failure::not_run()),
             // The client has left. The send is dropped, and the processor drops the request as well.
-            _ = request.departure.left(), if client_request.is_safe => {
+            _ = request.client_connection.closed(), if client_request.is_safe => {
                 telemetry::count("requests_abandoned");
                 Err(Failure::not_run())
             }
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -3,14 +3,14 @@
 #![warn(missing_docs)]
 
 mod client;
-mod departure;
+mod client_connection;
 mod header_time;
 mod parse;
 mod sent_ids;
 mod server;
 mod unidentified;
 pub use client::*;
-pub use departure::Departure;
+pub use client_connection::ClientConnection;
 pub use header_time::{keep_alive_timeout, milliseconds, whole_seconds};
 pub use parse::*;
 pub use server::*;
--- a/crates/http1/src/parse.rs
+++ b/crates/http1/src/parse.rs
@@ -1,4 +1,4 @@
-use crate::departure::Departure;
+use crate::client_connection::ClientConnection;
 use bytes::{Buf, Bytes, BytesMut};
 
 /// How large and how slow a request may be.
@@ -54,7 +54,7 @@
     /// Whether the connection may take another request behind this one.
     pub keep: bool,
     /// Whether its client has left meanwhile, where the server watches that.
-    pub departure: Departure,
+    pub client_connection: ClientConnection,
 }
 
 impl Request {
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -1,4 +1,4 @@
-use crate::departure::{Departure, DepartureSender};
+use crate::client_connection::{ClientConnection, ClientConnectionSender};
 use crate::parse::*;
 use bytes::{Bytes, BytesMut};
 use std::future::Future;
@@ -139,7 +139,7 @@
 /// Whether a server looks, while a request is handled, for its client leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientWatch {
-    /// The handler is told; see [`Departure`].
+    /// The handler is told; see [`ClientConnection`].
     On,
     /// It is not looked for: what is handled is carried through whoever waits for it.
     Off,
@@ -181,8 +181,8 @@
         let reply = match client_watch {
             ClientWatch::Off => handler(request).await,
             ClientWatch::On => {
-                let (sender, departure) = Departure::new();
-                request.departure = departure;
+                let (sender, client_connection) = ClientConnection::new();
+                request.client_connection = client_connection;
                 handled_while_watched(&mut stream, &mut buf, &sender, handler(request)).await
             }
         };
@@ -209,7 +209,7 @@
 async fn handled_while_watched(
     stream: &mut TcpStream,
     buf: &mut BytesMut,
-    sender: &DepartureSender,
+    sender: &ClientConnectionSender,
     handling: impl Future<Output = Reply>,
 ) -> Reply {
     tokio::pin!(handling);
@@ -222,7 +222,7 @@
         };
         if !matches!(read, Ok(bytes) if bytes > 0) {
             telemetry::count("clients_left");
-            sender.leave();
+            sender.set_closed();
             break;
         }
     }
--- a/crates/http1/tests/clients.rs
+++ b/crates/http1/tests/clients.rs
@@ -253,8 +253,8 @@
     tokio::spawn(listen(listener, Bounds::default, closed, ClientWatch::On, move |r: Request| {
         let noted = noted.clone();
         async move {
-            let has_left = tokio::time::timeout(Duration::from_millis(300), r.departure.left()).await.is_ok();
-            noted.lock().unwrap().push((r.path.clone(), has_left && r.departure.has_left()));
+            let has_left = tokio::time::timeout(Duration::from_millis(300), r.client_connection.closed()).await.is_ok();
+            noted.lock().unwrap().push((r.path.clone(), has_left && r.client_connection.is_closed()));
             Reply::new(200)
         }
     }));
--- a/crates/proxy/src/request.rs
+++ b/crates/proxy/src/request.rs
@@ -104,6 +104,6 @@
 
     /// Whether the client has closed its connection.
     pub fn client_has_left(&self) -> bool {
-        self.request.departure.has_left()
+        self.request.client_connection.is_closed()
     }
 }
