--- a/crates/http1/src/client.rs
+++ b/crates/http1/src/client.rs
@@ -277,9 +277,9 @@
     }
 }
 
-async fn read_answer(stream: &mut TcpStream, to_head: bool, buf: &mut BytesMut) -> Result<Answer, SendError> {
+async fn read_answer(stream: &mut TcpStream, answers_head: bool, buf: &mut BytesMut) -> Result<Answer, SendError> {
     let (mut answer, framing) = loop {
-        match take_answer_head(buf, to_head) {
+        match take_answer_head(buf, answers_head) {
             Ok(Some((a, _))) if a.status < 200 => continue,
             Ok(Some(h)) => break h,
             Ok(None) => {}
@@ -322,7 +322,7 @@
                 }
             };
         }
-        Framing::ToClose => {
+        Framing::UntilClose => {
             while buf.len() < limit {
                 buf.reserve(2 << 10);
                 match stream.read_buf(buf).await {
--- a/crates/http1/src/parse.rs
+++ b/crates/http1/src/parse.rs
@@ -74,7 +74,7 @@
     /// Chunked transfer encoding.
     Chunked,
     /// Of answers only: until the connection closes.
-    ToClose,
+    UntilClose,
 }
 
 /// A request that is turned away; the connection closes behind it.
@@ -269,7 +269,7 @@
 }
 
 /// The head of an answer: None while it is not whole.
-pub fn take_answer_head(buf: &mut BytesMut, to_head: bool) -> Result<Option<(Answer, Framing)>, &'static str> {
+pub fn take_answer_head(buf: &mut BytesMut, answers_head: bool) -> Result<Option<(Answer, Framing)>, &'static str> {
     let mut store = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Response::new(&mut store);
     let len = match head.parse(buf) {
@@ -306,7 +306,7 @@
     if chunked && length.is_some() {
         return Err("both length and chunks");
     }
-    let framing = if to_head || a.status < 200 || a.status == 204 || a.status == 304 {
+    let framing = if answers_head || a.status < 200 || a.status == 204 || a.status == 304 {
         Framing::None
     } else if chunked {
         Framing::Chunked
@@ -316,7 +316,7 @@
             Some(n) => Framing::Length(n),
             None => {
                 (a.keep, a.whole) = (false, false);
-                Framing::ToClose
+                Framing::UntilClose
             }
         }
     };
--- a/crates/http1/tests/clients.rs
+++ b/crates/http1/tests/clients.rs
@@ -38,8 +38,8 @@
         tokio::time::timeout(WAIT, s.read_buf(buf)).await.expect("an answer or an end").unwrap_or(0) > 0
     };
     loop {
-        let to_head = heads.get(all.len()).copied().unwrap_or(false);
-        match take_answer_head(&mut buf, to_head).expect("an answer") {
+        let answers_head = heads.get(all.len()).copied().unwrap_or(false);
+        match take_answer_head(&mut buf, answers_head).expect("an answer") {
             Some((a, _)) if a.status == 100 => {}
             Some((a, framing)) => {
                 let size = if let Framing::Length(n) = framing { n } else { 0 };
