--- a/crates/control/tests/scaler.rs
+++ b/crates/control/tests/scaler.rs
@@ -52,7 +52,7 @@
             let one = p.started.entry(text("nonce")).or_insert((format!("i-{n}"), text("carrier"))).clone();
             if p.answers_to_lose > 0 {
                 p.answers_to_lose -= 1;
-                return Reply { cut: true, ..Reply::new(200) };
+                return Reply { close_without_reply: true, ..Reply::new(200) };
             }
             Reply::json(200, serde_json::json!({"id": one.0, "address": "127.0.0.1:9"}).to_string())
         }
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -22,13 +22,20 @@
     /// Headers as another server gave them.
     pub passed: Vec<(String, String)>,
     /// Closes the connection without any answer.
-    pub cut: bool,
+    pub close_without_reply: bool,
 }
 
 impl Reply {
     /// An answer without a body.
     pub fn new(status: u16) -> Reply {
-        Reply { status, headers: Vec::new(), body: Bytes::new(), content_type: "", passed: Vec::new(), cut: false }
+        Reply {
+            status,
+            headers: Vec::new(),
+            body: Bytes::new(),
+            content_type: "",
+            passed: Vec::new(),
+            close_without_reply: false,
+        }
     }
 
     /// An answer with a JSON body.
@@ -186,7 +193,7 @@
                 handled_while_watched(&mut stream, &mut buf, &sender, handler(request)).await
             }
         };
-        if reply.cut {
+        if reply.close_without_reply {
             return;
         }
         let keep = keep && *closing.borrow() == Closing::Open;
