--- a/crates/functions/tests/gateway.rs
+++ b/crates/functions/tests/gateway.rs
@@ -203,7 +203,7 @@
 }
 
 fn forwarded_header<'a>(reply: &'a Reply, name: &str) -> Option<&'a str> {
-    reply.passed.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
+    reply.forwarded_headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
 }
 
 fn has_retry_after(reply: &Reply) -> bool {
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -189,7 +189,7 @@
 const SUCCESS: Behavior = Behavior::Answer { status: 200, after_ms: 5 };
 
 fn is_sealed(reply: &Reply) -> bool {
-    reply.passed.iter().any(|(name, _)| name.eq_ignore_ascii_case("x-seal"))
+    reply.forwarded_headers.iter().any(|(name, _)| name.eq_ignore_ascii_case("x-seal"))
 }
 
 fn has_retry_after(reply: &Reply) -> bool {
--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -20,7 +20,7 @@
     /// The value of `Content-Type`; empty: none is sent.
     pub content_type: &'static str,
     /// Headers as another server gave them.
-    pub passed: Vec<(String, String)>,
+    pub forwarded_headers: Vec<(String, String)>,
     /// Closes the connection without any answer.
     pub close_without_reply: bool,
 }
@@ -33,7 +33,7 @@
             headers: Vec::new(),
             body: Bytes::new(),
             content_type: "",
-            passed: Vec::new(),
+            forwarded_headers: Vec::new(),
             close_without_reply: false,
         }
     }
@@ -91,7 +91,7 @@
     for (n, v) in &reply.headers {
         let _ = write!(text, "{n}: {v}\r\n");
     }
-    for (n, v) in &reply.passed {
+    for (n, v) in &reply.forwarded_headers {
         let _ = write!(text, "{n}: {v}\r\n");
     }
     if !keep {
--- a/crates/proxy/src/failure.rs
+++ b/crates/proxy/src/failure.rs
@@ -70,6 +70,6 @@
 /// The reply that forwards a processor's answer, without its hop-by-hop headers.
 pub fn reply_from_answer(answer: Answer) -> Reply {
     let connection = answer.header("connection").unwrap_or("").to_owned();
-    let passed = answer.headers.into_iter().filter(|(name, _)| !is_hop_by_hop(name, &connection)).collect();
-    Reply { body: answer.body, passed, ..Reply::new(answer.status) }
+    let forwarded_headers = answer.headers.into_iter().filter(|(name, _)| !is_hop_by_hop(name, &connection)).collect();
+    Reply { body: answer.body, forwarded_headers, ..Reply::new(answer.status) }
 }
