--- a/crates/front/tests/answers.rs
+++ b/crates/front/tests/answers.rs
@@ -180,7 +180,7 @@
     use http1::{Answer, SendError};
     let outcome_of = |status: u16, headers: &[(&str, &str)]| {
         let headers = headers.iter().map(|(n, v)| (n.to_string(), v.to_string())).collect();
-        classify_answer(&Ok(Answer { status, headers, whole: true, ..Answer::default() })).0
+        classify_answer(&Ok(Answer { status, headers, is_complete: true, ..Answer::default() })).0
     };
     for status in [400, 409, 429, 503] {
         assert_eq!(outcome_of(status, &[("X-Not-Run", "1")]), Outcome::NotRun);
--- a/crates/http1/src/parse.rs
+++ b/crates/http1/src/parse.rs
@@ -258,7 +258,7 @@
     /// Whether the connection may be used again.
     pub keep: bool,
     /// Its length was told, and all of it came.
-    pub whole: bool,
+    pub is_complete: bool,
 }
 
 impl Answer {
@@ -277,8 +277,12 @@
         Ok(httparse::Status::Partial) if buf.len() <= 64 << 10 => return Ok(None),
         _ => return Err("malformed answer"),
     };
-    let mut a =
-        Answer { status: head.code.unwrap_or(0), keep: head.version == Some(1), whole: true, ..Answer::default() };
+    let mut a = Answer {
+        status: head.code.unwrap_or(0),
+        keep: head.version == Some(1),
+        is_complete: true,
+        ..Answer::default()
+    };
     let (mut length, mut chunked) = (None, false);
     for h in head.headers.iter() {
         let value = String::from_utf8_lossy(h.value).trim().to_owned();
@@ -315,7 +319,7 @@
             Some(0) => Framing::None,
             Some(n) => Framing::Length(n),
             None => {
-                (a.keep, a.whole) = (false, false);
+                (a.keep, a.is_complete) = (false, false);
                 Framing::UntilClose
             }
         }
--- a/crates/http1/tests/calls.rs
+++ b/crates/http1/tests/calls.rs
@@ -280,7 +280,7 @@
                         (a.header("x-attempt-id"), a.header("x-seal")),
                         (Some(id.as_str()), Some(&*format!("s-{id}")))
                     );
-                    assert_eq!((&a.body[..], a.whole, ran), (id.as_bytes(), true, 1), "{troubles:?}");
+                    assert_eq!((&a.body[..], a.is_complete, ran), (id.as_bytes(), true, 1), "{troubles:?}");
                 }
                 Err(SendError::NotSent) => assert_eq!(ran, 0),
                 Err(_) => assert!(ran <= 1),
--- a/crates/proxy/src/send.rs
+++ b/crates/proxy/src/send.rs
@@ -116,7 +116,7 @@
         status if status >= 400 && answer.header("x-not-run").is_some() => SendOutcome::Refused,
         200..=299 => {
             let is_sealed = answer.header("x-seal").is_some_and(|seal| !seal.is_empty());
-            if is_sealed && answer.header("content-encoding").is_none() && answer.whole {
+            if is_sealed && answer.header("content-encoding").is_none() && answer.is_complete {
                 return SendOutcome::Answered(answer);
             }
             telemetry::count("answers_not_whole");
@@ -129,7 +129,7 @@
             telemetry::count("promises_of_nobody");
             SendOutcome::Lost
         }
-        _ if answer.whole => SendOutcome::Answered(answer),
+        _ if answer.is_complete => SendOutcome::Answered(answer),
         _ => SendOutcome::Lost,
     }
 }
