--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -119,7 +119,7 @@
 
 /// Takes a server out of service within `grace`, so that each request that was read gets
 /// a whole answer: connections are ended by their answers first, then nothing new is taken,
-/// and at last what is unanswered still is told to answer. Returns early once there is
+/// and at last what is requests_in_flight still is told to answer. Returns early once there is
 /// none left and `idle` says that nothing else is under way; looks every `look`.
 pub async fn shut_down_gracefully(
     closing: &watch::Sender<Closing>,
@@ -133,12 +133,12 @@
     tokio::time::sleep_until(begun + grace * 2 / 5).await;
     closing.send_replace(Closing::Shut);
     tokio::time::sleep_until(begun + grace / 2).await;
-    while (unanswered() > 0 || !idle()) && begun.elapsed() < grace * 4 / 5 {
+    while (requests_in_flight() > 0 || !idle()) && begun.elapsed() < grace * 4 / 5 {
         tokio::time::sleep(look).await;
     }
     closing.send_replace(Closing::Ending);
     // What is sent behind the last answers is read for a while; see `end_connection`.
-    while unanswered() > 0 && begun.elapsed() < grace * 9 / 10 {
+    while requests_in_flight() > 0 && begun.elapsed() < grace * 9 / 10 {
         tokio::time::sleep(look).await;
     }
 }
@@ -183,7 +183,7 @@
                 return;
             }
         };
-        let _unanswered = Unanswered::new();
+        let _unanswered = InFlightGuard::new();
         let (keep, head_only) = (request.keep, request.method == "HEAD");
         let reply = match client_watch {
             ClientWatch::Off => handler(request).await,
@@ -331,25 +331,25 @@
 }
 
 /// Requests that are read and not answered yet, of every server of this process.
-static OPEN: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
+static REQUESTS_IN_FLIGHT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
 
 /// Requests that were read in full and are not answered yet, in this process.
-pub fn unanswered() -> usize {
-    OPEN.load(std::sync::atomic::Ordering::Relaxed)
+pub fn requests_in_flight() -> usize {
+    REQUESTS_IN_FLIGHT.load(std::sync::atomic::Ordering::Relaxed)
 }
 
-struct Unanswered;
+struct InFlightGuard;
 
-impl Unanswered {
-    fn new() -> Unanswered {
-        OPEN.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
-        Unanswered
+impl InFlightGuard {
+    fn new() -> InFlightGuard {
+        REQUESTS_IN_FLIGHT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
+        InFlightGuard
     }
 }
 
-impl Drop for Unanswered {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        OPEN.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
+        REQUESTS_IN_FLIGHT.fetch_sub(1, std::sync::atomic::Ordering::Relaxed);
     }
 }
 
