--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -28,13 +28,13 @@
 const SLOW_MEMORY: u32 = 32;
 
 /// All keys are this long.
-pub const KEY: usize = 13;
+pub const KEY_LEN: usize = 13;
 /// A key on disk, as [`key`] makes it.
-pub type Key = [u8; KEY];
+pub type Key = [u8; KEY_LEN];
 
 /// A kind, a partition (or 0), and a number.
 pub fn key(kind: u8, partition: u32, n: u64) -> Key {
-    let mut k = [0; KEY];
+    let mut k = [0; KEY_LEN];
     k[0] = kind;
     k[1..5].copy_from_slice(&partition.to_be_bytes());
     k[5..].copy_from_slice(&n.to_be_bytes());
--- a/crates/wal/src/segments.rs
+++ b/crates/wal/src/segments.rs
@@ -1,6 +1,6 @@
 //! The log of segments and its index.
 
-use crate::{KEY, Key, Op};
+use crate::{KEY_LEN, Key, Op};
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::fs::{File, OpenOptions};
 use std::io::{Error, ErrorKind, Result, Write};
@@ -78,11 +78,12 @@
 /// The next op of a batch, and where the one after it begins.
 fn op(data: &[u8], at: usize) -> Result<(Read, usize)> {
     let short = || bad("a batch ends inside an op");
-    let key = |at: usize| -> Result<Key> { data.get(at..at + KEY).and_then(|k| k.try_into().ok()).ok_or_else(short) };
+    let key =
+        |at: usize| -> Result<Key> { data.get(at..at + KEY_LEN).and_then(|k| k.try_into().ok()).ok_or_else(short) };
     let k = key(at + 1)?;
     match data.get(at) {
         Some(&PUT) => {
-            let from = at + 1 + KEY;
+            let from = at + 1 + KEY_LEN;
             let len = data.get(from..from + 4).ok_or_else(short)?;
             let len = u32::from_be_bytes([len[0], len[1], len[2], len[3]]) as usize;
             if data.len() < from + 4 + len {
@@ -90,8 +91,8 @@
             }
             Ok((Read::Put(k, from + 4, len), from + 4 + len))
         }
-        Some(&DEL) => Ok((Read::Del(k, k), at + 1 + KEY)),
-        Some(&DEL_RANGE) => Ok((Read::Del(k, key(at + 1 + KEY)?), at + 1 + 2 * KEY)),
+        Some(&DEL) => Ok((Read::Del(k, k), at + 1 + KEY_LEN)),
+        Some(&DEL_RANGE) => Ok((Read::Del(k, key(at + 1 + KEY_LEN)?), at + 1 + 2 * KEY_LEN)),
         _ => Err(bad("a batch holds an unknown op")),
     }
 }
