--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -163,7 +163,7 @@
         for d in dones {
             d();
         }
-        if let Err(e) = segments.clean() {
+        if let Err(e) = segments.compact() {
             telemetry::debug!("cannot clean up yet: {e}");
         }
         let used = segments.used_bytes();
--- a/crates/wal/src/segments.rs
+++ b/crates/wal/src/segments.rs
@@ -320,7 +320,7 @@
 
     /// Frees the oldest segment when more is dead than alive: what still counts
     /// there is written anew, then the file goes.
-    pub fn clean(&mut self) -> Result<()> {
+    pub fn compact(&mut self) -> Result<()> {
         while self.segments.len() > 2 && self.used_bytes() > 2 * self.live + 2 * self.limit {
             let Some(oldest) = self.segments.front().map(|s| s.id) else { break };
             let file = File::open(path(&self.dir, oldest))?;
--- a/crates/wal/tests/power.rs
+++ b/crates/wal/tests/power.rs
@@ -129,7 +129,7 @@
         s.commit(&ops).expect("written");
         apply(&mut model, &ops);
         let before = files(&dir);
-        s.clean().expect("cleaned");
+        s.compact().expect("cleaned");
         let after = files(&dir);
         if after.len() < before.len() {
             lost = Some(before);
@@ -218,11 +218,11 @@
     let id: u64 = name.file_stem().and_then(|n| n.to_str()).and_then(|n| n.parse().ok()).expect("a number");
     let blocked = dir.join(format!("{:010}.log", id + 1));
     std::fs::create_dir(&blocked).expect("a folder");
-    assert!(s.clean().is_err(), "there was something to free");
+    assert!(s.compact().is_err(), "there was something to free");
     assert!(s.commit(&[Op::Put(key(b'y', 1, 1), vec![1].into())]).is_err(), "nothing counts before it");
     std::fs::remove_dir(&blocked).expect("removed");
     put(&mut s, key(b'y', 1, 1), vec![2]);
-    s.clean().expect("freed");
+    s.compact().expect("freed");
     drop(s);
     let (_, read) = open(&dir).expect("whole");
     assert_eq!(read, model);
