--- a/crates/http1/src/client.rs
+++ b/crates/http1/src/client.rs
@@ -10,146 +10,152 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-/// Why a call to a server brought no whole answer.
+/// Why a call did not return a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendError {
-    /// No connection, or no room for one: nothing was sent.
+    /// No connection could be opened, or the connection limit was reached: nothing was sent.
     NotSent,
-    /// Sent, and then closed, reset, broken or silent.
+    /// The request was sent, but the connection was then closed or reset, or the response was malformed.
     Lost,
-    /// Sent, and silent until the time was up.
+    /// The request was sent, but its response did not arrive before the time-out.
     Silent,
 }
 
-/// A connection that is kept for the next call.
-struct Idle {
+/// An idle connection that is kept for another call.
+struct IdleConnection {
     stream: TcpStream,
     sent: SentIds,
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    expires_at: Instant,
 }
 
+/// The connections to one server.
 #[derive(Default)]
-struct Place {
-    idle: Vec<Idle>,
-    open: usize,
+struct ServerConnections {
+    /// In the order in which they became idle.
+    idle: Vec<IdleConnection>,
+    /// Calls under way; each has a connection of its own.
+    active: usize,
 }
 
-/// Kept connections to servers, newest used first.
+/// A pool of persistent connections by server address. The most recently used one is taken first.
 pub struct ConnectionPool {
-    places: Mutex<HashMap<String, Place>>,
-    idle: Duration,
+    servers: Mutex<HashMap<String, ServerConnections>>,
+    idle_timeout: Duration,
     hasher: RandomState,
     unidentified: Mutex<UnidentifiedAnswers>,
 }
 
-/// For how many times the idle time of connections a server is remembered that does not
-/// name its requests.
-const UNIDENTIFIED_FOR: u32 = 60;
+/// How long a server that does not repeat request ids is remembered after its last call, as a
+/// multiple of the idle time-out.
+const UNIDENTIFIED_RETENTION_FACTOR: u32 = 60;
 
-/// The longest time that an unused connection is kept, whatever its server says.
-const LONGEST_KEPT: Duration = Duration::from_secs(3600);
+/// Upper bound of the idle time-out, whatever the `Keep-Alive` header of the server says.
+const MAX_IDLE_TIMEOUT: Duration = Duration::from_secs(3600);
 
-/// One request to a server.
+/// A request to a server.
 pub struct Call<'a> {
-    /// The method, as on the request line.
+    /// The method, as in the request line.
     pub method: &'a str,
-    /// Path and query, as on the request line.
+    /// The path and query, as in the request line.
     pub path: &'a str,
-    /// The value of `Host`.
+    /// The value of the `Host` header.
     pub host: &'a str,
-    /// Further headers, in their order; lengths and `Host` are added.
+    /// Additional headers, in the order in which they are sent. `Host` and `Content-Length` are added.
     pub headers: &'a [(&'a str, &'a str)],
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
-    /// The id that the answer is to carry back. Empty: none is sent, and the call has
-    /// a connection of its own.
+    /// The id that the response must repeat in `X-Attempt-Id`. If it is empty, the response is not
+    /// checked and the call uses a new connection that is not kept.
     pub id: &'a str,
-    /// Only a connection that was used or opened within this time; None: any kept one.
+    /// Reuses only a connection that was opened or last used within this time; `None`: any idle one.
     pub newest: Option<Duration>,
-    /// How long a new connection may take; None: a quarter of the call's time.
+    /// Time-out for opening a connection; `None`: a quarter of the time-out of the call.
     pub connect: Option<Duration>,
 }
 
-/// Whether a kept connection may carry another call. One that has something to read was closed, or
-/// is out of step.
-fn is_usable(idle: &Idle, newest: Option<Duration>, now: Instant) -> bool {
-    let mut one = [0u8; 1];
-    idle.until > now
-        && newest.is_none_or(|newest| now.duration_since(idle.since) <= newest)
-        && matches!(idle.stream.try_read(&mut one), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
+/// Whether an idle connection may carry another call. If it is readable, the server has closed it
+/// or has sent bytes that belong to no outstanding request.
+fn is_usable(idle: &IdleConnection, newest: Option<Duration>, now: Instant) -> bool {
+    let mut byte = [0u8; 1];
+    idle.expires_at > now
+        && newest.is_none_or(|newest| now.duration_since(idle.idle_since) <= newest)
+        && matches!(idle.stream.try_read(&mut byte), Err(e) if e.kind() == std::io::ErrorKind::WouldBlock)
 }
 
-struct OpenCount<'a> {
+/// Counts a call as active until it is dropped.
+struct ActiveCall<'a> {
     pool: &'a ConnectionPool,
     addr: &'a str,
 }
 
-impl Drop for OpenCount<'_> {
+impl Drop for ActiveCall<'_> {
     fn drop(&mut self) {
-        let mut places = self.pool.places.lock().unwrap();
-        if let Some(p) = places.get_mut(self.addr) {
-            p.open -= 1;
-            if p.open == 0 && p.idle.is_empty() {
-                places.remove(self.addr);
+        let mut servers = self.pool.servers.lock().unwrap();
+        if let Some(connections) = servers.get_mut(self.addr) {
+            connections.active -= 1;
+            if connections.active == 0 && connections.idle.is_empty() {
+                servers.remove(self.addr);
             }
         }
     }
 }
 
 impl ConnectionPool {
-    /// A pool that keeps unused connections for that long.
-    pub fn new(idle: Duration) -> Arc<ConnectionPool> {
-        let unidentified = Mutex::new(UnidentifiedAnswers::new(idle * UNIDENTIFIED_FOR));
-        Arc::new(ConnectionPool { places: Mutex::default(), idle, hasher: RandomState::new(), unidentified })
+    /// Creates a pool that keeps an idle connection for `idle_timeout`, unless its server names
+    /// another time in `Keep-Alive`.
+    pub fn new(idle_timeout: Duration) -> Arc<ConnectionPool> {
+        let unidentified = Mutex::new(UnidentifiedAnswers::new(idle_timeout * UNIDENTIFIED_RETENTION_FACTOR));
+        Arc::new(ConnectionPool { servers: Mutex::default(), idle_timeout, hasher: RandomState::new(), unidentified })
     }
 
-    /// A kept connection for a call: the newest that has not carried its id. One that has makes
-    /// room for a new one.
+    /// Takes the most recently used idle connection that has not carried a request with this id. If
+    /// there are only connections that have, the oldest is closed and the caller opens a new one.
     fn take_idle(&self, address: &str, newest: Option<Duration>, id_hash: u64) -> Option<(TcpStream, SentIds)> {
-        let mut places = self.places.lock().unwrap();
-        let idle = &mut places.get_mut(address)?.idle;
+        let mut servers = self.servers.lock().unwrap();
+        let idle = &mut servers.get_mut(address)?.idle;
         let now = Instant::now();
-        let mut passed_over = None;
-        while let Some(at) = passed_over.unwrap_or(idle.len()).checked_sub(1) {
-            if !is_usable(&idle[at], newest, now) {
-                idle.remove(at);
-                passed_over = passed_over.map(|_| at);
-            } else if idle[at].sent.may_contain(id_hash) {
-                passed_over = Some(at);
+        let mut skipped = None;
+        while let Some(index) = skipped.unwrap_or(idle.len()).checked_sub(1) {
+            if !is_usable(&idle[index], newest, now) {
+                idle.remove(index);
+                skipped = skipped.map(|_| index);
+            } else if idle[index].sent.may_contain(id_hash) {
+                skipped = Some(index);
             } else {
-                let Idle { stream, sent, .. } = idle.remove(at);
+                let IdleConnection { stream, sent, .. } = idle.remove(index);
                 return Some((stream, sent));
             }
         }
-        if let Some(oldest) = passed_over {
+        if let Some(oldest) = skipped {
             telemetry::count("connections_with_the_same_id");
             idle.remove(oldest);
         }
         None
     }
 
-    /// Closes what has been idle too long, and all to servers that are gone.
-    pub fn sweep(&self, known: impl Fn(&str) -> bool) {
+    /// Closes expired idle connections, and all idle connections to servers for which `is_known` is
+    /// false.
+    pub fn sweep(&self, is_known: impl Fn(&str) -> bool) {
         let now = Instant::now();
-        self.places.lock().unwrap().retain(|addr, p| {
-            if !known(addr) {
-                p.idle.clear();
+        self.servers.lock().unwrap().retain(|addr, connections| {
+            if !is_known(addr) {
+                connections.idle.clear();
             }
-            p.idle.retain(|i| i.until > now);
-            p.open > 0 || !p.idle.is_empty()
+            connections.idle.retain(|idle| idle.expires_at > now);
+            connections.active > 0 || !connections.idle.is_empty()
         });
         self.unidentified.lock().unwrap().sweep(now);
     }
 
-    /// The servers whose answers do not name their requests, by address: no call to them
-    /// brings anything.
+    /// The addresses of the servers whose responses do not repeat the request id. No call to them
+    /// can succeed.
     pub fn unidentified(&self) -> Vec<String> {
         self.unidentified.lock().unwrap().servers()
     }
 
-    /// Notes whether a server's answers name their request, and reports one that leaves
-    /// the id out.
+    /// Records whether the responses of a server repeat the request id, and logs a server that
+    /// leaves it out.
     fn note_identification(&self, address: &str, host: &str, has_own_answer: bool, has_unidentified: bool) {
         let mut unidentified = self.unidentified.lock().unwrap();
         if has_own_answer {
@@ -157,25 +163,24 @@
         } else if has_unidentified && unidentified.missing(address, Instant::now()) {
             telemetry::count("processors_without_id");
             telemetry::error!(
-                "answers do not repeat X-Attempt-Id, none of its runs can end: processor={address} host={host}"
+                "responses do not repeat X-Attempt-Id, so no request to it can complete: processor={address} host={host}"
             );
         }
     }
 
-    /// Opens a connection and keeps it for the next call; tells whether the other
-    /// side refused, or was silent.
-    pub async fn open(&self, addr: &str, within: Duration) -> Result<(), SendError> {
-        match tokio::time::timeout(within, TcpStream::connect(addr)).await {
+    /// Opens a connection and keeps it for 1 s for the next call. An error tells a refused connection
+    /// (`NotSent`) from a time-out (`Silent`).
+    pub async fn open(&self, addr: &str, timeout: Duration) -> Result<(), SendError> {
+        match tokio::time::timeout(timeout, TcpStream::connect(addr)).await {
             Ok(Ok(stream)) => {
                 let _ = stream.set_nodelay(true);
                 let now = Instant::now();
-                let mut places = self.places.lock().unwrap();
-                let until = now + Duration::from_secs(1);
-                places.entry(addr.to_owned()).or_default().idle.push(Idle {
+                let mut servers = self.servers.lock().unwrap();
+                servers.entry(addr.to_owned()).or_default().idle.push(IdleConnection {
                     stream,
                     sent: SentIds::default(),
-                    since: now,
-                    until,
+                    idle_since: now,
+                    expires_at: now + Duration::from_secs(1),
                 });
                 Ok(())
             }
@@ -184,28 +189,28 @@
         }
     }
 
-    /// Sends one request and reads the whole answer; `limit` connections at the
-    /// most are open to that address.
-    pub async fn call(&self, addr: &str, call: Call<'_>, limit: usize, within: Duration) -> Result<Answer, SendError> {
+    /// Sends a request and reads the complete response. Fails with `NotSent` if `limit` calls to
+    /// this address are already under way.
+    pub async fn call(&self, addr: &str, call: Call<'_>, limit: usize, timeout: Duration) -> Result<Answer, SendError> {
         {
-            let mut places = self.places.lock().unwrap();
-            let place = places.entry(addr.to_owned()).or_default();
-            if place.open >= limit {
+            let mut servers = self.servers.lock().unwrap();
+            let connections = servers.entry(addr.to_owned()).or_default();
+            if connections.active >= limit {
                 return Err(SendError::NotSent);
             }
-            place.open += 1;
+            connections.active += 1;
         }
-        let _open = OpenCount { pool: self, addr };
-        let end = tokio::time::Instant::now() + within;
-        let connect_within = call.connect.map_or(within / 4, |connect| connect.min(within));
-        // An answer that names nobody belongs to the one request of its connection, or
-        // to nobody knows which.
-        let named = !call.id.is_empty();
+        let _active = ActiveCall { pool: self, addr };
+        let deadline = tokio::time::Instant::now() + timeout;
+        let connect_timeout = call.connect.map_or(timeout / 4, |connect| connect.min(timeout));
+        // A response without an id can be matched to its request only if the connection carries a
+        // single request.
+        let has_id = !call.id.is_empty();
         let id_hash = self.hasher.hash_one(call.id);
-        let kept = if named { self.take_idle(addr, call.newest, id_hash) } else { None };
-        let (mut stream, mut sent) = match kept {
-            Some(kept) => kept,
-            None => match tokio::time::timeout(connect_within, TcpStream::connect(addr)).await {
+        let reused = if has_id { self.take_idle(addr, call.newest, id_hash) } else { None };
+        let (mut stream, mut sent) = match reused {
+            Some(reused) => reused,
+            None => match tokio::time::timeout(connect_timeout, TcpStream::connect(addr)).await {
                 Ok(Ok(s)) => {
                     let _ = s.set_nodelay(true);
                     telemetry::count("connections_opened");
@@ -234,35 +239,37 @@
             stream.write_all(&out).await.map_err(|_| SendError::Lost)?;
             read_own_answer(&mut stream, &call, &mut has_unidentified).await
         };
-        let exchanged = tokio::time::timeout_at(end, exchange).await.unwrap_or(Err(SendError::Silent));
-        if named {
+        let exchanged = tokio::time::timeout_at(deadline, exchange).await.unwrap_or(Err(SendError::Silent));
+        if has_id {
             self.note_identification(addr, call.host, exchanged.is_ok(), has_unidentified);
         }
-        let (answer, left) = exchanged?;
-        if answer.keep && !left && named && !sent.is_full() {
-            let told = answer.header("keep-alive").and_then(keep_alive_timeout);
-            // Three quarters of what the server says, so as not to meet its close.
-            let kept = told.map_or(self.idle, |time| (time * 3 / 4).min(LONGEST_KEPT));
-            let mut places = self.places.lock().unwrap();
-            if let Some(p) = places.get_mut(addr) {
-                p.idle.push(Idle { stream, sent, since: Instant::now(), until: Instant::now() + kept });
+        let (answer, has_surplus) = exchanged?;
+        if answer.keep && !has_surplus && has_id && !sent.is_full() {
+            let server_timeout = answer.header("keep-alive").and_then(keep_alive_timeout);
+            // Three quarters of the server's time-out, so that a request is not sent while the server
+            // closes the connection.
+            let timeout = server_timeout.map_or(self.idle_timeout, |time| (time * 3 / 4).min(MAX_IDLE_TIMEOUT));
+            let mut servers = self.servers.lock().unwrap();
+            if let Some(connections) = servers.get_mut(addr) {
+                let (idle_since, expires_at) = (Instant::now(), Instant::now() + timeout);
+                connections.idle.push(IdleConnection { stream, sent, idle_since, expires_at });
             }
         }
         Ok(answer)
     }
 }
 
-/// Reads on until the answer to this very call: a surplus one may come in its
-/// place, or one that names nobody, and says nothing of it. Tells whether the
-/// connection is out of step; `has_unidentified` is set at the first answer that names
-/// nobody.
+/// Reads responses until the one that repeats the id of this call. A response with another id, such
+/// as a late duplicate, or without one says nothing about this call and is discarded. The flag that
+/// is returned says that the connection must not be reused, as it carried surplus bytes.
+/// `has_unidentified` is set at the first response without an id.
 async fn read_own_answer(
     stream: &mut TcpStream,
     call: &Call<'_>,
     has_unidentified: &mut bool,
 ) -> Result<(Answer, bool), SendError> {
     let mut buf = BytesMut::with_capacity(2 << 10);
-    let mut surplus = false;
+    let mut has_surplus = false;
     loop {
         let answer = read_answer(stream, call.method == "HEAD", &mut buf).await?;
         match answer.header("x-attempt-id") {
@@ -271,9 +278,9 @@
                 telemetry::count("answers_without_id");
                 *has_unidentified = true;
             }
-            _ => return Ok((answer, surplus || !buf.is_empty())),
+            _ => return Ok((answer, has_surplus || !buf.is_empty())),
         }
-        surplus = true;
+        has_surplus = true;
     }
 }
 
