--- a/crates/http1/src/client_connection.rs
+++ b/crates/http1/src/client_connection.rs
@@ -1,8 +1,9 @@
-//! Whether the client of a request has left before it got its answer.
+//! Tells a request handler that the client closed its connection before it got the response.
 
 use tokio::sync::watch;
 
-/// Told to whoever handles a request of a server that watches its clients.
+/// The state of the connection of a request, for its handler. It is watched only with
+/// [`ClientWatch::On`](crate::ClientWatch::On).
 #[derive(Clone, Debug, Default)]
 pub struct ClientConnection {
     closed: Option<watch::Receiver<bool>>,
@@ -22,7 +23,7 @@
         self.closed.as_ref().is_some_and(|closed| *closed.borrow())
     }
 
-    /// Ends once the client has closed its connection; never where that is not watched.
+    /// Completes once the client has closed its connection; never, if that is not watched.
     pub async fn closed(&self) {
         if let Some(closed) = &self.closed
             && closed.clone().wait_for(|closed| *closed).await.is_ok()
