--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1: reading requests strictly, and calling processors over kept connections.
+//! HTTP/1.1: a server with strict request parsing, and a client with persistent connections.
 
 #![warn(missing_docs)]
 
