--- a/crates/http1/src/parse.rs
+++ b/crates/http1/src/parse.rs
@@ -1,16 +1,16 @@
 use crate::client_connection::ClientConnection;
 use bytes::{Buf, Bytes, BytesMut};
 
-/// How large and how slow a request may be.
+/// Limits on the size of a request and on the time that it may take.
 #[derive(Clone, Copy, Debug)]
 pub struct Bounds {
-    /// Bytes of the request line and headers together.
+    /// Maximum size of the request line and headers together, in bytes.
     pub header_bytes: usize,
-    /// Bytes of the body.
+    /// Maximum size of the body, in bytes.
     pub body_bytes: usize,
-    /// How long the headers may take, in milliseconds.
+    /// Time-out for receiving a request, headers and body, in milliseconds.
     pub header_ms: u64,
-    /// How long a connection may rest between requests, in milliseconds.
+    /// How long a connection may be idle between requests, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -21,7 +21,7 @@
 }
 
 impl Bounds {
-    /// As a configuration tells them; what it leaves out stays as it is by default.
+    /// The limits of a configuration; a value of zero stands for the default.
     pub fn from_settings(header_bytes: u64, body_bytes: u64, header_ms: f64, idle_ms: f64) -> Bounds {
         let mut b = Bounds::default();
         if header_bytes > 0 {
@@ -40,49 +40,49 @@
     }
 }
 
-/// A request, read in full.
+/// A request with its complete body.
 #[derive(Clone, Debug, Default)]
 pub struct Request {
     /// The method, as sent.
     pub method: String,
-    /// Path and query, as sent.
+    /// The path and query, as sent.
     pub path: String,
-    /// Names and values in their order, names as sent.
+    /// Names and values in the order in which they were sent, names as sent.
     pub headers: Vec<(String, String)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// Whether the connection may take another request behind this one.
+    /// Whether the connection may carry another request after this one.
     pub keep: bool,
-    /// Whether its client has left meanwhile, where the server watches that.
+    /// Tells whether the client has closed its connection, if the server watches that.
     pub client_connection: ClientConnection,
 }
 
 impl Request {
-    /// The first header of that name, whatever its case.
+    /// The value of the first header of that name; the case of names does not matter.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 }
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Framing {
     /// There is no body.
     None,
-    /// So many bytes.
+    /// The body has this many bytes.
     Length(usize),
     /// Chunked transfer encoding.
     Chunked,
-    /// Of answers only: until the connection closes.
+    /// The body ends when the connection is closed; only in responses.
     UntilClose,
 }
 
-/// A request that is turned away; the connection closes behind it.
+/// A request that is rejected while it is read. The connection is closed after the response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RequestError {
-    /// The status of the answer.
+    /// The status of the response.
     pub status: u16,
-    /// What is wrong, for the answer and the log.
+    /// What is wrong, for the body of the response.
     pub reason: &'static str,
 }
 
@@ -90,7 +90,8 @@
     Err(RequestError { status, reason })
 }
 
-/// The head of a request: None while it is not whole.
+/// Parses the head of a request and removes it from `buf`; `None` while it is incomplete. The flag
+/// says that the client expects `100 Continue`.
 pub fn take_head(buf: &mut BytesMut, bounds: &Bounds) -> Result<Option<(Request, Framing, bool)>, RequestError> {
     let mut store = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Request::new(&mut store);
@@ -172,16 +173,18 @@
     Ok(Some((r, framing, expect)))
 }
 
-/// Collects a chunked body; strict, as what follows must not be taken for a request.
+/// Decodes a chunked body. It is strict, so that a part of a body is never taken for the next
+/// request (request smuggling).
 #[derive(Default)]
 pub struct Chunks {
     body: BytesMut,
-    left: usize,
-    stage: Stage,
+    /// Bytes of the current chunk that have not arrived.
+    remaining: usize,
+    state: ChunkState,
 }
 
 #[derive(Default, PartialEq)]
-enum Stage {
+enum ChunkState {
     #[default]
     Size,
     Data,
@@ -190,11 +193,11 @@
 }
 
 impl Chunks {
-    /// Takes what there is; the whole body once it has ended.
+    /// Consumes the available bytes; returns the complete body once its end was read.
     pub fn take(&mut self, buf: &mut BytesMut, limit: usize) -> Result<Option<Bytes>, RequestError> {
         loop {
-            match self.stage {
-                Stage::Size | Stage::Trailer => {
+            match self.state {
+                ChunkState::Size | ChunkState::Trailer => {
                     let Some(end) = buf.iter().position(|b| *b == b'\n') else {
                         return if buf.len() > 1024 { reject(400, "broken chunk") } else { Ok(None) };
                     };
@@ -203,7 +206,7 @@
                     }
                     let line = buf.split_to(end + 1);
                     let line = &line[..end - 1];
-                    if self.stage == Stage::Trailer {
+                    if self.state == ChunkState::Trailer {
                         if line.is_empty() {
                             return Ok(Some(std::mem::take(&mut self.body).freeze()));
                         }
@@ -214,24 +217,24 @@
                     if text.is_empty() || text.len() > 8 || !text.bytes().all(|b| b.is_ascii_hexdigit()) {
                         return reject(400, "broken chunk");
                     }
-                    self.left = usize::from_str_radix(text, 16).unwrap_or(usize::MAX);
-                    if self.left > limit || self.body.len() + self.left > limit {
+                    self.remaining = usize::from_str_radix(text, 16).unwrap_or(usize::MAX);
+                    if self.remaining > limit || self.body.len() + self.remaining > limit {
                         return reject(413, "body too large");
                     }
-                    self.stage = if self.left == 0 { Stage::Trailer } else { Stage::Data };
+                    self.state = if self.remaining == 0 { ChunkState::Trailer } else { ChunkState::Data };
                 }
-                Stage::Data => {
+                ChunkState::Data => {
                     if buf.is_empty() {
                         return Ok(None);
                     }
-                    let part = buf.split_to(self.left.min(buf.len()));
-                    self.left -= part.len();
+                    let part = buf.split_to(self.remaining.min(buf.len()));
+                    self.remaining -= part.len();
                     self.body.extend_from_slice(&part);
-                    if self.left == 0 {
-                        self.stage = Stage::DataEnd;
+                    if self.remaining == 0 {
+                        self.state = ChunkState::DataEnd;
                     }
                 }
-                Stage::DataEnd => {
+                ChunkState::DataEnd => {
                     if buf.len() < 2 {
                         return Ok(None);
                     }
@@ -239,36 +242,38 @@
                         return reject(400, "broken chunk");
                     }
                     buf.advance(2);
-                    self.stage = Stage::Size;
+                    self.state = ChunkState::Size;
                 }
             }
         }
     }
 }
 
-/// A server's answer.
+/// A server's response.
 #[derive(Clone, Debug, Default)]
 pub struct Answer {
     /// The status, as sent.
     pub status: u16,
-    /// Names and values in their order, names as sent.
+    /// Names and values in the order in which they were sent, names as sent.
     pub headers: Vec<(String, String)>,
-    /// The body as far as it came.
+    /// The body, as far as it was received.
     pub body: Bytes,
     /// Whether the connection may be used again.
     pub keep: bool,
-    /// Its length was told, and all of it came.
+    /// Whether the framing gave the length of the body, and all of it was received. False for a body
+    /// that ends with the connection, which may be truncated.
     pub is_complete: bool,
 }
 
 impl Answer {
-    /// The first header of that name, whatever its case.
+    /// The value of the first header of that name; the case of names does not matter.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, v)| v.as_str())
     }
 }
 
-/// The head of an answer: None while it is not whole.
+/// Parses the head of a response and removes it from `buf`; `None` while it is incomplete.
+/// `answers_head` says that the request was a `HEAD`, whose response has no body.
 pub fn take_answer_head(buf: &mut BytesMut, answers_head: bool) -> Result<Option<(Answer, Framing)>, &'static str> {
     let mut store = [httparse::EMPTY_HEADER; 64];
     let mut head = httparse::Response::new(&mut store);
