--- a/crates/http1/src/unidentified.rs
+++ b/crates/http1/src/unidentified.rs
@@ -1,63 +1,66 @@
-//! Servers whose answers do not name their request.
+//! Detects servers whose responses do not repeat the request id.
 //!
-//! An answer to a request with an id counts only if it repeats that id: one that does not
-//! may belong to any request. A server that never repeats it can complete nothing, and from
-//! outside this looks like silence. Here such servers are found, so that they are reported.
+//! A response to a request with an id is accepted only if it repeats that id; one that does not may
+//! belong to any request. A server that never repeats it can complete no request, which to callers
+//! looks like a time-out. Such servers are detected here, so that they can be reported.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-/// How many calls in a row must have brought answers without an id and none with their
-/// own. Fewer may be strays on connections in trouble.
-const CALLS_IN_A_ROW: u32 = 3;
+/// How many calls in a row must have received responses without an id and none with their own.
+/// Fewer may be stray responses on broken connections.
+const CONSECUTIVE_CALLS: u32 = 3;
 
 struct Server {
-    /// Calls since the last answer that named its request.
-    calls: u32,
+    /// Calls with unidentified responses since the last response that repeated its id.
+    consecutive_calls: u32,
     last_call: Instant,
     is_reported: bool,
 }
 
-/// The servers of one pool that leave the id out, by address.
+/// The servers of a pool that leave out the id, by address.
 pub(crate) struct UnidentifiedAnswers {
     servers: HashMap<String, Server>,
-    /// A server that is not called any more is forgotten after this time.
-    forget_after: Duration,
+    /// How long a server is remembered after its last call.
+    retention: Duration,
 }
 
 impl UnidentifiedAnswers {
-    pub(crate) fn new(forget_after: Duration) -> UnidentifiedAnswers {
-        UnidentifiedAnswers { servers: HashMap::new(), forget_after }
+    pub(crate) fn new(retention: Duration) -> UnidentifiedAnswers {
+        UnidentifiedAnswers { servers: HashMap::new(), retention }
     }
 
-    /// A call brought answers without an id, and none of its own. True where that is to be
-    /// reported: once for each server.
+    /// Records a call that received responses without an id and none of its own. Returns true if the
+    /// server is to be reported, which is once for each server.
     pub(crate) fn missing(&mut self, address: &str, now: Instant) -> bool {
-        let server =
-            self.servers.entry(address.to_owned()).or_insert(Server { calls: 0, last_call: now, is_reported: false });
-        server.calls = server.calls.saturating_add(1);
+        let server = self.servers.entry(address.to_owned()).or_insert(Server {
+            consecutive_calls: 0,
+            last_call: now,
+            is_reported: false,
+        });
+        server.consecutive_calls = server.consecutive_calls.saturating_add(1);
         server.last_call = now;
-        server.calls >= CALLS_IN_A_ROW && !std::mem::replace(&mut server.is_reported, true)
+        server.consecutive_calls >= CONSECUTIVE_CALLS && !std::mem::replace(&mut server.is_reported, true)
     }
 
-    /// A call brought its own answer.
+    /// Records a call that received its own response.
     pub(crate) fn identified(&mut self, address: &str) {
         if let Some(server) = self.servers.get_mut(address) {
-            server.calls = 0;
+            server.consecutive_calls = 0;
         }
     }
 
-    /// The servers that do not name requests now, in order of their addresses.
+    /// The addresses of the servers that currently leave out the id, sorted.
     pub(crate) fn servers(&self) -> Vec<String> {
-        let missing = self.servers.iter().filter(|(_, server)| server.calls >= CALLS_IN_A_ROW);
+        let missing = self.servers.iter().filter(|(_, server)| server.consecutive_calls >= CONSECUTIVE_CALLS);
         let mut addresses: Vec<String> = missing.map(|(address, _)| address.clone()).collect();
         addresses.sort_unstable();
         addresses
     }
 
-    /// Forgets servers that were not called for long.
+    /// Forgets servers that were not called within the retention time.
     pub(crate) fn sweep(&mut self, now: Instant) {
-        let forget_after = self.forget_after;
-        self.servers.retain(|_, server| now.duration_since(server.last_call) < forget_after);
+        let retention = self.retention;
+        self.servers.retain(|_, server| now.duration_since(server.last_call) < retention);
     }
 }
