--- a/crates/http1/src/server.rs
+++ b/crates/http1/src/server.rs
@@ -8,25 +8,25 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// An answer to a client.
+/// A response to a client.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// The status.
     pub status: u16,
-    /// Headers of our own; the length is added.
+    /// Headers of this server; `Content-Length` is added.
     pub headers: Vec<(&'static str, String)>,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// The value of `Content-Type`; empty: none is sent.
+    /// The value of `Content-Type`; if it is empty, the header is not sent.
     pub content_type: &'static str,
-    /// Headers as another server gave them.
+    /// Headers that are forwarded from the response of another server.
     pub forwarded_headers: Vec<(String, String)>,
-    /// Closes the connection without any answer.
+    /// Closes the connection without a response.
     pub close_without_reply: bool,
 }
 
 impl Reply {
-    /// An answer without a body.
+    /// A response without a body.
     pub fn new(status: u16) -> Reply {
         Reply {
             status,
@@ -38,7 +38,7 @@
         }
     }
 
-    /// An answer with a JSON body.
+    /// A response with a JSON body.
     pub fn json(status: u16, body: impl Into<Bytes>) -> Reply {
         Reply { body: body.into(), content_type: "application/json", ..Reply::new(status) }
     }
@@ -78,8 +78,8 @@
     }
 }
 
-/// Writes an answer; without its body for `head_only`, and with `Connection: close`
-/// unless the connection is kept.
+/// Appends a response to `out`; without its body for `head_only`, and with `Connection: close` unless
+/// `keep` is set.
 pub fn put_reply(out: &mut BytesMut, reply: &Reply, keep: bool, head_only: bool) {
     use std::fmt::Write;
     let mut text = String::with_capacity(160);
@@ -104,56 +104,56 @@
     }
 }
 
-/// How far a server is on its way out.
+/// The stages of a graceful shutdown.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Closing {
-    /// Connections and requests are taken.
+    /// Connections and requests are accepted.
     Open,
-    /// Serves on; every answer ends its connection.
+    /// Requests are still served; the connection is closed after each response.
     Draining,
-    /// Idle connections are closed, and no new ones are taken.
+    /// Idle connections are closed, and no new ones are accepted.
     Shut,
-    /// The process is about to end: handlers answer at once, with what is known by then.
+    /// The process is about to exit: handlers respond at once with what they know.
     Ending,
 }
 
-/// Takes a server out of service within `grace`, so that each request that was read gets
-/// a whole answer: connections are ended by their answers first, then nothing new is taken,
-/// and at last what is requests_in_flight still is told to answer. Returns early once there is
-/// none left and `idle` says that nothing else is under way; looks every `look`.
+/// Shuts a server down within `grace`, so that each request that was read gets a complete response:
+/// first each response closes its connection, then nothing new is accepted, and at last the
+/// remaining handlers are told to respond. Returns early once no requests are in flight and
+/// `is_idle` reports that nothing else is under way; both are checked every `poll_interval`.
 pub async fn shut_down_gracefully(
     closing: &watch::Sender<Closing>,
     grace: Duration,
-    look: Duration,
-    idle: impl Fn() -> bool,
+    poll_interval: Duration,
+    is_idle: impl Fn() -> bool,
 ) {
-    let begun = tokio::time::Instant::now();
+    let started = tokio::time::Instant::now();
     closing.send_replace(Closing::Draining);
-    // The platform needs two misses and a little to send nobody here any more.
-    tokio::time::sleep_until(begun + grace * 2 / 5).await;
+    // The platform stops routing clients here only a short time after two missed checks.
+    tokio::time::sleep_until(started + grace * 2 / 5).await;
     closing.send_replace(Closing::Shut);
-    tokio::time::sleep_until(begun + grace / 2).await;
-    while (requests_in_flight() > 0 || !idle()) && begun.elapsed() < grace * 4 / 5 {
-        tokio::time::sleep(look).await;
+    tokio::time::sleep_until(started + grace / 2).await;
+    while (requests_in_flight() > 0 || !is_idle()) && started.elapsed() < grace * 4 / 5 {
+        tokio::time::sleep(poll_interval).await;
     }
     closing.send_replace(Closing::Ending);
-    // What is sent behind the last answers is read for a while; see `end_connection`.
-    while requests_in_flight() > 0 && begun.elapsed() < grace * 9 / 10 {
-        tokio::time::sleep(look).await;
+    // Leaves time to drain what clients send after the last responses; see `close_gracefully`.
+    while requests_in_flight() > 0 && started.elapsed() < grace * 9 / 10 {
+        tokio::time::sleep(poll_interval).await;
     }
 }
 
-/// Whether a server looks, while a request is handled, for its client leaving.
+/// Whether a server watches, while a request is handled, for its client closing the connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClientWatch {
-    /// The handler is told; see [`ClientConnection`].
+    /// The handler is notified; see [`ClientConnection`].
     On,
-    /// It is not looked for: what is handled is carried through whoever waits for it.
+    /// Requests are handled to the end, even if the client has closed the connection.
     Off,
 }
 
-/// Reads and answers the requests of one connection after the other, until
-/// either side ends it or the server shuts between two requests.
+/// Reads and answers the requests of a connection in sequence, until either side closes it or the
+/// server shuts down between two requests.
 pub async fn serve_connection<H, F>(
     mut stream: TcpStream,
     bounds: impl Fn() -> Bounds,
@@ -179,7 +179,7 @@
                 let body = format!("{{\"fault\":\"{}\"{limit}}}", error.reason);
                 put_reply(&mut out, &Reply::json(error.status, body), false, false);
                 let _ = stream.write_all(&out).await;
-                end_connection(&mut stream, b.header_ms / 10).await;
+                close_gracefully(&mut stream, b.header_ms / 10).await;
                 return;
             }
         };
@@ -190,7 +190,7 @@
             ClientWatch::On => {
                 let (sender, client_connection) = ClientConnection::new();
                 request.client_connection = client_connection;
-                handled_while_watched(&mut stream, &mut buf, &sender, handler(request)).await
+                handle_while_watching(&mut stream, &mut buf, &sender, handler(request)).await
             }
         };
         if reply.close_without_reply {
@@ -203,17 +203,17 @@
             return;
         }
         if !keep {
-            end_connection(&mut stream, bounds().header_ms).await;
+            close_gracefully(&mut stream, bounds().header_ms).await;
             return;
         }
     }
 }
 
-/// How much of the requests behind the one that is handled is read before its answer.
+/// How many bytes of pipelined requests are read while a request is handled.
 const READ_AHEAD_BYTES: usize = 4 << 10;
 
-/// Waits for a handler, and tells it if its client closes the connection meanwhile.
-async fn handled_while_watched(
+/// Waits for a handler, and notifies it if the client closes the connection in the meantime.
+async fn handle_while_watching(
     stream: &mut TcpStream,
     buf: &mut BytesMut,
     sender: &ClientConnectionSender,
@@ -236,17 +236,18 @@
     handling.await
 }
 
-/// Ends a connection so that its last answer is not lost: to close while something is
-/// unread, or still on its way here, is a reset, which takes what was not sent yet along.
-async fn end_connection(stream: &mut TcpStream, within_ms: u64) {
+/// Closes a connection without losing the last response. A close with unread or still arriving data
+/// causes a reset, which discards what was not sent yet; so the write side is shut down and the
+/// input is drained first.
+async fn close_gracefully(stream: &mut TcpStream, timeout_ms: u64) {
     let _ = stream.shutdown().await;
     let mut sink = BytesMut::with_capacity(512);
-    let rest = async {
+    let drain = async {
         while matches!(stream.read_buf(&mut sink).await, Ok(n) if n > 0) {
             sink.clear();
         }
     };
-    let _ = tokio::time::timeout(Duration::from_millis(within_ms), rest).await;
+    let _ = tokio::time::timeout(Duration::from_millis(timeout_ms), drain).await;
 }
 
 async fn read_request(
@@ -261,13 +262,13 @@
             biased;
             n = stream.read_buf(buf) => match n { Ok(n) if n > 0 => {}, _ => return Ok(None) },
             _ = async { let _ = closing.wait_for(|c| *c >= Closing::Shut).await; } => return Ok(None),
-            _ = idle_time(bounds) => return Ok(None),
+            _ = idle_timeout(bounds) => return Ok(None),
         }
     }
     let bounds = &bounds();
-    let whole = async {
+    let read = async {
         let (mut request, framing, expect) = loop {
-            // Line ends between requests are allowed.
+            // Empty lines between requests are allowed.
             while buf.first().is_some_and(|b| *b == b'\r' || *b == b'\n') {
                 let _ = buf.split_to(1);
             }
@@ -311,15 +312,15 @@
         }
         Ok(Some(request))
     };
-    match tokio::time::timeout(Duration::from_millis(bounds.header_ms), whole).await {
+    match tokio::time::timeout(Duration::from_millis(bounds.header_ms), read).await {
         Ok(r) => r,
         Err(_) => Err(RequestError { status: 408, reason: "request came too slowly" }),
     }
 }
 
-/// Passes when a connection has been idle for as long as the limits of that moment allow:
-/// a configuration may have raised them meanwhile.
-async fn idle_time(bounds: &impl Fn() -> Bounds) {
+/// Completes when a connection has been idle for the current limit, which a new configuration may
+/// have raised in the meantime.
+async fn idle_timeout(bounds: &impl Fn() -> Bounds) {
     let since = tokio::time::Instant::now();
     loop {
         let end = since + Duration::from_millis(bounds().idle_ms);
@@ -330,14 +331,15 @@
     }
 }
 
-/// Requests that are read and not answered yet, of every server of this process.
+/// Requests of all servers of this process that were read in full and not answered yet.
 static REQUESTS_IN_FLIGHT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
 
-/// Requests that were read in full and are not answered yet, in this process.
+/// Number of requests that were read in full and not answered yet, in this process.
 pub fn requests_in_flight() -> usize {
     REQUESTS_IN_FLIGHT.load(std::sync::atomic::Ordering::Relaxed)
 }
 
+/// Counts a request as in flight until it is dropped.
 struct InFlightGuard;
 
 impl InFlightGuard {
@@ -353,7 +355,7 @@
     }
 }
 
-/// Takes connections until the server shuts.
+/// Accepts connections until the server shuts down.
 pub async fn listen<H, F>(
     listener: TcpListener,
     bounds: impl Fn() -> Bounds + Clone + Send + Sync + 'static,
