--- a/crates/telemetry/src/containment.rs
+++ b/crates/telemetry/src/containment.rs
@@ -1,55 +1,56 @@
-//! What a panic ends: the task of one connection or one call, or the whole process.
+//! Panic policy: a panic ends either the task of one connection or call, or the whole process.
 //!
-//! A task that carries out one request of another machine is run `contained`: a panic in it ends
-//! this task alone. Any other panic ends the process at once, as state that is half changed must
-//! not be served; so does, by its poisoned lock, state that a contained task left half changed.
+//! A task that handles a request of another machine runs in [`contained`], so a panic in it ends only
+//! this task. Any other panic aborts the process at once, because state that was changed only in part
+//! must not be served. State that a contained task left changed in part has a poisoned lock, and so
+//! leads to an abort as well.
 
 use std::cell::Cell;
 use std::future::{Future, poll_fn};
 
 thread_local! {
-    /// Whether the task that is polled now is contained.
+    /// Whether the future that this thread is polling is contained.
     static IS_CONTAINED: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Marks the current poll as that of a contained task.
-struct Scope {
-    former: bool,
+/// Marks the current thread as polling a contained future until it is dropped.
+struct ContainedScope {
+    previous: bool,
 }
 
-impl Scope {
-    fn enter() -> Scope {
-        Scope { former: IS_CONTAINED.replace(true) }
+impl ContainedScope {
+    fn enter() -> ContainedScope {
+        ContainedScope { previous: IS_CONTAINED.replace(true) }
     }
 }
 
-impl Drop for Scope {
+impl Drop for ContainedScope {
     fn drop(&mut self) {
-        IS_CONTAINED.set(self.former);
+        IS_CONTAINED.set(self.previous);
     }
 }
 
-/// Runs a future whose panics may end its task and nothing else. To be the whole of a spawned
-/// task, or of a spawned part of one.
+/// Runs a future whose panics end only its own task. It must be the whole future of a
+/// spawned task, or of a spawned part of one.
 pub async fn contained<F: Future>(future: F) -> F::Output {
     let mut future = std::pin::pin!(future);
     poll_fn(|context| {
-        let _scope = Scope::enter();
+        let _scope = ContainedScope::enter();
         future.as_mut().poll(context)
     })
     .await
 }
 
-/// From now on a panic outside of contained tasks ends the process; one inside is counted as
-/// `tasks_panicked`.
+/// Installs a panic hook: a panic outside of contained tasks aborts the process, and one inside is
+/// counted as `tasks_panicked`.
 pub fn end_process_on_panic() {
-    let report = std::panic::take_hook();
+    let previous_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |panic| {
-        report(panic);
+        previous_hook(panic);
         if !IS_CONTAINED.get() {
             std::process::abort();
         }
         crate::count("tasks_panicked");
-        crate::error!("ALARM a request's task has panicked: {panic}");
+        crate::error!("ALARM the task of a request panicked: {panic}");
     }));
 }
