--- a/crates/telemetry/src/invariant.rs
+++ b/crates/telemetry/src/invariant.rs
@@ -1,15 +1,15 @@
-//! Invariants that are checked while the program runs: each check is counted, and each violation
-//! is counted by name and written as an alarm.
+//! Run-time checks of invariants. Checks are counted together, violations are counted by invariant
+//! and logged as alarms.
 
 use crate::{Level, add, line};
 
-/// The counter of all checks.
+/// Counter of the checks of all invariants.
 const CHECKS: &str = "invariant_checks";
 
-/// Notes a check of the invariant that `counter` names, and how many things violate it. Says
-/// whether it holds.
+/// Records a check of an invariant and returns whether it holds.
 ///
-/// `counter` is the name under which violations are counted; `detail` describes them.
+/// `counter` names the invariant and counts its violations; `violations` is the number that this
+/// check found, and `detail` describes them in the log.
 pub fn check_invariant(counter: &'static str, violations: u64, detail: std::fmt::Arguments<'_>) -> bool {
     add(CHECKS, 1);
     add(counter, violations);
