--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,5 +1,5 @@
-//! Counters and log lines. Counters come first: a line is written only when a
-//! state changes, and the counters are printed from time to time as one line.
+//! Counters and log lines. Frequent events are counted, not logged: a line is written only when a
+//! state changes, and all counters are logged periodically in one line.
 
 #![warn(missing_docs)]
 
@@ -15,20 +15,20 @@
 use std::sync::atomic::{AtomicU8, AtomicU64, Ordering};
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How important a log line is.
+/// Severity of a log line.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Level {
-    /// Something is wrong that an operator should see.
+    /// A fault that needs the attention of an operator.
     Error = 0,
     /// A state has changed.
     Change = 1,
-    /// Detail for the search of faults.
+    /// Detail for debugging.
     Debug = 2,
 }
 
 static LEVEL: AtomicU8 = AtomicU8::new(1);
 
-/// Sets how much is written: `error`, `change` (the default) or `debug`.
+/// Sets the log level: `error`, `change` (the default) or `debug`. Returns false for any other name.
 pub fn set_level(name: &str) -> bool {
     let level = match name {
         "error" => Level::Error,
@@ -40,21 +40,21 @@
     true
 }
 
-/// Whether lines of a level are written.
+/// Whether lines of this level are written.
 pub fn enabled(level: Level) -> bool {
     level as u8 <= LEVEL.load(Ordering::Relaxed)
 }
 
-/// Milliseconds since 1970 by the time of day.
+/// The wall-clock time in milliseconds since the Unix epoch.
 pub fn wall_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map(|d| d.as_millis() as u64).unwrap_or(0)
 }
 
 /// Writes a line to standard error if its level is enabled.
-pub fn line(level: Level, what: std::fmt::Arguments<'_>) {
+pub fn line(level: Level, message: std::fmt::Arguments<'_>) {
     if enabled(level) {
         let ms = wall_ms();
-        eprintln!("{}.{:03} {:?} {}", ms / 1000, ms % 1000, level, what);
+        eprintln!("{}.{:03} {:?} {}", ms / 1000, ms % 1000, level, message);
     }
 }
 
@@ -64,19 +64,20 @@
 /// Logs an error.
 #[macro_export]
 macro_rules! error { ($($a:tt)*) => { $crate::line($crate::Level::Error, format_args!($($a)*)) } }
-/// Logs a detail.
+/// Logs a debugging detail.
 #[macro_export]
 macro_rules! debug { ($($a:tt)*) => { $crate::line($crate::Level::Debug, format_args!($($a)*)) } }
 
 static COUNTERS: Mutex<BTreeMap<&'static str, u64>> = Mutex::new(BTreeMap::new());
-static SINCE: AtomicU64 = AtomicU64::new(0);
+/// The sum of all values at the last report, by which a report tells whether any has changed.
+static REPORTED_SUM: AtomicU64 = AtomicU64::new(0);
 
 /// Adds to the counter of that name.
 pub fn add(name: &'static str, n: u64) {
     *COUNTERS.lock().unwrap().entry(name).or_insert(0) += n;
 }
 
-/// Sets a value that is measured rather than counted.
+/// Sets a gauge.
 pub fn set(name: &'static str, n: u64) {
     COUNTERS.lock().unwrap().insert(name, n);
 }
@@ -86,23 +87,23 @@
     add(name, 1);
 }
 
-/// The value of a counter; 0 if it was never set.
+/// The value of a counter or gauge; 0 if it was never set.
 pub fn get(name: &str) -> u64 {
     COUNTERS.lock().unwrap().get(name).copied().unwrap_or(0)
 }
 
-/// All counters as `name=value` pairs, in order of name.
+/// All counters and gauges as `name=value` pairs, sorted by name.
 pub fn render() -> String {
     let all = COUNTERS.lock().unwrap();
     all.iter().map(|(k, v)| format!("{k}={v}")).collect::<Vec<_>>().join(" ")
 }
 
-/// Writes the counters as one line if they moved since the last time, and what
-/// was sent to others as a second one.
-pub fn report(who: &str, sent: &str) {
+/// Logs the counters in one line and what `node` sent to others in a second one, if the sum of the
+/// counters has changed since the last report.
+pub fn report(node: &str, sent: &str) {
     let sum: u64 = COUNTERS.lock().unwrap().values().sum();
-    if SINCE.swap(sum, Ordering::Relaxed) != sum {
-        change!("counters {who} {}", render());
-        change!("sent {who} {sent}");
+    if REPORTED_SUM.swap(sum, Ordering::Relaxed) != sum {
+        change!("counters {node} {}", render());
+        change!("sent {node} {sent}");
     }
 }
