--- a/crates/telemetry/src/throttle.rs
+++ b/crates/telemetry/src/throttle.rs
@@ -1,30 +1,30 @@
-//! Lets something happen once in a while: log lines that many requests would write.
+//! Rate limit for events such as log lines that many requests would cause.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Allows one of what comes within a period.
+/// Allows at most one event per period.
 pub struct Throttle {
-    last: Mutex<Option<Instant>>,
+    last_allowed: Mutex<Option<Instant>>,
 }
 
 impl Throttle {
-    /// One that allows the first.
+    /// Creates a throttle that allows the first event.
     pub const fn new() -> Throttle {
-        Throttle { last: Mutex::new(None) }
+        Throttle { last_allowed: Mutex::new(None) }
     }
 
-    /// Whether it is this one's turn: the last that was allowed is `period` ago.
+    /// Whether an event is allowed now: none was allowed within the last `period`.
     pub fn allows(&self, period: Duration) -> bool {
         self.allows_at(Instant::now(), period)
     }
 
-    /// As `allows`, at a given moment.
+    /// Like [`Throttle::allows`], at a given time.
     pub fn allows_at(&self, now: Instant, period: Duration) -> bool {
-        let mut last = self.last.lock().unwrap();
-        let is_due = last.is_none_or(|last| now.saturating_duration_since(last) >= period);
+        let mut last_allowed = self.last_allowed.lock().unwrap();
+        let is_due = last_allowed.is_none_or(|last| now.saturating_duration_since(last) >= period);
         if is_due {
-            *last = Some(now);
+            *last_allowed = Some(now);
         }
         is_due
     }
