--- a/crates/telemetry/tests/throttle.rs
+++ b/crates/telemetry/tests/throttle.rs
@@ -1,12 +1,12 @@
-//! What many would write is written once in a while.
+//! Throttling of frequent events.
 
 use std::time::{Duration, Instant};
 use telemetry::Throttle;
 
 #[test]
-fn one_of_what_comes_within_a_period_is_allowed() {
-    let (throttle, begun, period) = (Throttle::new(), Instant::now(), Duration::from_secs(1));
+fn one_event_per_period_is_allowed() {
+    let (throttle, start, period) = (Throttle::new(), Instant::now(), Duration::from_secs(1));
     let allowed: Vec<bool> =
-        [0, 10, 999, 1000, 1001, 5000].map(|ms| throttle.allows_at(begun + Duration::from_millis(ms), period)).to_vec();
+        [0, 10, 999, 1000, 1001, 5000].map(|ms| throttle.allows_at(start + Duration::from_millis(ms), period)).to_vec();
     assert_eq!(allowed, [true, false, false, true, false, true]);
 }
