--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,18 +1,18 @@
-//! Keys and values on disk, in a checksummed log of segments, written by a
-//! thread of its own with group commit: whatever waits becomes one batch and
-//! one sync.
+//! A persistent key-value store in a segmented, checksummed log. A dedicated
+//! thread writes with group commit: all pending writes become one batch with one
+//! sync.
 //!
-//! What holds after a loss of power:
-//! - A batch counts once a sync that came after it has succeeded, and `done` is
-//!   called only then. What a power loss leaves of later batches is missing or
-//!   torn; the reader stops at the first batch that is not whole, cuts the rest
-//!   off and syncs, before anything is read to the caller.
-//! - A segment is synced before the next one is begun, so a batch that is there
-//!   has all before it. A gap in the numbers of the batches is damage, and the
-//!   folder is refused.
-//! - Segments are removed oldest first, each with a sync of the folder before the
-//!   next, so that a removal which is lost brings nothing back that a later
-//!   segment does not overrule.
+//! Guarantees after a power failure:
+//! - A batch is durable once a sync after its write has succeeded, and `done` is
+//!   called only then. Later batches may be missing or torn: recovery stops at
+//!   the first incomplete batch, truncates the segment there and syncs it before
+//!   anything is passed to the caller.
+//! - A segment is synced before the next one is created, so all batches before an
+//!   existing one exist as well. A gap in the batch numbers is corruption, and
+//!   the directory is refused.
+//! - Segments are removed oldest first, and the directory is synced after each
+//!   removal. If a removal is lost, the segment that reappears holds only what
+//!   later segments override.
 
 #![warn(missing_docs)]
 
@@ -24,15 +24,16 @@
 use std::sync::mpsc;
 use std::time::{Duration, Instant};
 
-/// For how many times the bound of a slow write the last ones say how the disk does.
-const SLOW_MEMORY: u32 = 32;
+/// How long the latest write times describe the state of the disk, as a multiple of the bound
+/// of a slow write.
+const SLOW_VALIDITY_FACTOR: u32 = 32;
 
-/// All keys are this long.
+/// Length of a key in bytes.
 pub const KEY_LEN: usize = 13;
-/// A key on disk, as [`key`] makes it.
+/// A stored key, as built by [`key`].
 pub type Key = [u8; KEY_LEN];
 
-/// A kind, a partition (or 0), and a number.
+/// Builds a key from a kind, a partition (or 0) and a number.
 pub fn key(kind: u8, partition: u32, n: u64) -> Key {
     let mut k = [0; KEY_LEN];
     k[0] = kind;
@@ -41,110 +42,113 @@
     k
 }
 
-/// One change of what is stored.
+/// A change of the stored data.
 #[derive(Clone, Debug)]
 pub enum Op {
-    /// Stores a value, in place of one of the same key.
+    /// Stores a value, replacing that of the same key.
     Put(Key, Bytes),
-    /// Removes one key.
+    /// Removes a key.
     Del(Key),
-    /// All keys from the first to the last.
+    /// Removes all keys from the first to the last, both included.
     DelRange(Key, Key),
 }
 
-type Done = Box<dyn FnOnce() + Send>;
+/// Called once a write is durable.
+type OnDurable = Box<dyn FnOnce() + Send>;
 
-struct Job {
+struct WriteRequest {
     ops: Vec<Op>,
-    done: Option<Done>,
+    on_durable: OnDurable,
 }
 
-struct Shared {
-    used: AtomicU64,
+/// What the disk thread reports to the handles. Times are in milliseconds since `start`.
+struct DiskState {
+    used_bytes: AtomicU64,
     start: Instant,
-    /// When the oldest write that has not come back began, in milliseconds; 0: none.
-    since: AtomicU64,
-    /// How long the last writes took, in milliseconds, newest first: 16 bits each.
-    took: AtomicU64,
-    /// When the last write came back, in milliseconds.
-    ended: AtomicU64,
+    /// Start of the write in progress, plus 1; 0 if there is none.
+    write_started_ms: AtomicU64,
+    /// Durations of the last four writes in milliseconds, 16 bits each, the newest in the lowest bits.
+    write_times_ms: AtomicU64,
+    /// End of the last write.
+    write_ended_ms: AtomicU64,
 }
 
 /// A handle to the disk thread.
 #[derive(Clone)]
 pub struct Wal {
-    tx: mpsc::Sender<Job>,
-    shared: Arc<Shared>,
+    tx: mpsc::Sender<WriteRequest>,
+    state: Arc<DiskState>,
 }
 
 impl Wal {
-    /// Opens the folder, hands every stored pair to `read` (in no order), and
-    /// starts the thread. Sized by the machine's disk and memory.
+    /// Opens the directory, passes every stored pair to `read` in no particular order, and starts
+    /// the disk thread. Segment size and read buffer follow from the disk and memory of the machine.
     pub fn open(dir: &str, disk_mb: u64, memory_mb: u64, mut read: impl FnMut(&[u8], &[u8])) -> Result<Wal, String> {
         let segments = SegmentLog::open(dir, (disk_mb << 20) / 24, (memory_mb << 20) as usize / 8, &mut read)
             .map_err(|e| format!("{dir}: {e}"))?;
         let (tx, rx) = mpsc::channel();
-        let shared = Arc::new(Shared {
-            used: AtomicU64::new(segments.used_bytes()),
+        let state = Arc::new(DiskState {
+            used_bytes: AtomicU64::new(segments.used_bytes()),
             start: Instant::now(),
-            since: AtomicU64::new(0),
-            took: AtomicU64::new(0),
-            ended: AtomicU64::new(0),
+            write_started_ms: AtomicU64::new(0),
+            write_times_ms: AtomicU64::new(0),
+            write_ended_ms: AtomicU64::new(0),
         });
-        let s = shared.clone();
+        let thread_state = state.clone();
         std::thread::Builder::new()
             .name("wal".into())
-            .spawn(move || write_all(segments, rx, s))
+            .spawn(move || run_writer(segments, rx, thread_state))
             .map_err(|e| e.to_string())?;
-        Ok(Wal { tx, shared })
+        Ok(Wal { tx, state })
     }
 
-    /// Writes all of it or nothing; `done` runs on the disk thread once it is durable.
+    /// Writes all operations atomically; `done` runs on the disk thread once they are durable.
     pub fn write(&self, ops: Vec<Op>, done: impl FnOnce() + Send + 'static) {
-        let _ = self.tx.send(Job { ops, done: Some(Box::new(done)) });
+        let _ = self.tx.send(WriteRequest { ops, on_durable: Box::new(done) });
     }
 
-    /// Bytes on disk.
+    /// Bytes used on disk.
     pub fn used_bytes(&self) -> u64 {
-        self.shared.used.load(Ordering::Relaxed)
+        self.state.used_bytes.load(Ordering::Relaxed)
     }
 
-    /// Whether the last four writes all took longer than that, and not so long ago that they say
-    /// nothing of the disk as it is now.
+    /// Whether each of the last four writes took longer than `bound`, unless they are too old to
+    /// describe the current state of the disk.
     pub fn is_slow(&self, bound: Duration) -> bool {
-        let took = self.shared.took.load(Ordering::Relaxed);
-        let ended = Duration::from_millis(self.shared.ended.load(Ordering::Relaxed));
-        let is_recent = self.shared.start.elapsed().saturating_sub(ended) < bound * SLOW_MEMORY;
-        is_recent && (0..4).all(|n| Duration::from_millis(took >> (16 * n) & 0xffff) > bound)
+        let times = self.state.write_times_ms.load(Ordering::Relaxed);
+        let ended = Duration::from_millis(self.state.write_ended_ms.load(Ordering::Relaxed));
+        let is_recent = self.state.start.elapsed().saturating_sub(ended) < bound * SLOW_VALIDITY_FACTOR;
+        is_recent && (0..4).all(|n| Duration::from_millis(times >> (16 * n) & 0xffff) > bound)
     }
 
-    /// For how long the disk has not answered a write.
+    /// How long the write in progress has taken so far; zero if there is none.
     pub fn busy_for(&self) -> Duration {
-        let since = self.shared.since.load(Ordering::Relaxed);
-        if since == 0 {
+        let started_ms = self.state.write_started_ms.load(Ordering::Relaxed);
+        if started_ms == 0 {
             return Duration::ZERO;
         }
-        self.shared.start.elapsed().saturating_sub(Duration::from_millis(since))
+        self.state.start.elapsed().saturating_sub(Duration::from_millis(started_ms))
     }
 }
 
-fn write_all(mut segments: SegmentLog, rx: mpsc::Receiver<Job>, shared: Arc<Shared>) {
+/// The disk thread: writes pending requests in batches until all handles are dropped.
+fn run_writer(mut segments: SegmentLog, rx: mpsc::Receiver<WriteRequest>, state: Arc<DiskState>) {
     while let Ok(first) = rx.recv() {
-        shared.since.store(shared.start.elapsed().as_millis() as u64 + 1, Ordering::Relaxed);
-        let (mut ops, mut dones, mut size) = (Vec::new(), Vec::new(), 0);
+        state.write_started_ms.store(state.start.elapsed().as_millis() as u64 + 1, Ordering::Relaxed);
+        let (mut ops, mut callbacks, mut size) = (Vec::new(), Vec::new(), 0);
         let mut next = Some(first);
-        while let Some(job) = next {
-            size += job.ops.iter().map(|o| if let Op::Put(_, v) = o { v.len() } else { 0 }).sum::<usize>();
-            ops.extend(job.ops);
-            dones.extend(job.done);
+        while let Some(request) = next {
+            size += request.ops.iter().map(|o| if let Op::Put(_, v) = o { v.len() } else { 0 }).sum::<usize>();
+            ops.extend(request.ops);
+            callbacks.push(request.on_durable);
             next = if size < 1 << 20 { rx.try_recv().ok() } else { None };
         }
         let (mut failed, mut pause) = (false, Duration::from_millis(5));
-        // What is not durable is not acknowledged. A disk that refuses is tried
-        // again until it takes it: what is on it stays in service meanwhile.
+        // Nothing is acknowledged before it is durable. A write that fails is retried until it
+        // succeeds; the stored data remains available in the meantime.
         while let Err(e) = segments.commit(&ops) {
             if !failed {
-                telemetry::error!("disk write refused, trying again: {e}");
+                telemetry::error!("disk write failed, retrying: {e}");
                 telemetry::count("disk_refusals");
                 failed = true;
             }
@@ -152,22 +156,22 @@
             pause = (pause * 2).min(Duration::from_millis(80));
         }
         if failed {
-            telemetry::change!("the disk takes writes again");
+            telemetry::change!("disk writes succeed again");
         }
         telemetry::count("disk_syncs");
-        let began = shared.since.load(Ordering::Relaxed);
-        let took = (shared.start.elapsed().as_millis() as u64 + 1).saturating_sub(began).min(0xffff);
-        shared.took.store(shared.took.load(Ordering::Relaxed) << 16 | took, Ordering::Relaxed);
-        shared.ended.store(shared.start.elapsed().as_millis() as u64, Ordering::Relaxed);
-        shared.since.store(0, Ordering::Relaxed);
-        for d in dones {
-            d();
+        let started_ms = state.write_started_ms.load(Ordering::Relaxed);
+        let time_ms = (state.start.elapsed().as_millis() as u64 + 1).saturating_sub(started_ms).min(0xffff);
+        state.write_times_ms.store(state.write_times_ms.load(Ordering::Relaxed) << 16 | time_ms, Ordering::Relaxed);
+        state.write_ended_ms.store(state.start.elapsed().as_millis() as u64, Ordering::Relaxed);
+        state.write_started_ms.store(0, Ordering::Relaxed);
+        for on_durable in callbacks {
+            on_durable();
         }
         if let Err(e) = segments.compact() {
-            telemetry::debug!("cannot clean up yet: {e}");
+            telemetry::debug!("cannot compact segments yet: {e}");
         }
         let used = segments.used_bytes();
-        shared.used.store(used, Ordering::Relaxed);
+        state.used_bytes.store(used, Ordering::Relaxed);
         telemetry::set("disk_used_mb", used >> 20);
     }
 }
