--- a/crates/wal/tests/power.rs
+++ b/crates/wal/tests/power.rs
@@ -1,5 +1,5 @@
-//! Power is lost at every moment of a write: nothing acknowledged goes, and
-//! nothing is read that the next loss could take back.
+//! Power failures at every point of a write: no acknowledged data is lost, and no data is read that
+//! a second power failure could remove again.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -7,42 +7,42 @@
 
 type Pairs = BTreeMap<Key, Vec<u8>>;
 
-fn folder(name: &str) -> PathBuf {
+fn new_dir(name: &str) -> PathBuf {
     let dir = std::env::temp_dir().join(format!("wal-{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).expect("a folder");
+    std::fs::create_dir_all(&dir).expect("directory access");
     dir
 }
 
 fn open(dir: &Path) -> Result<(SegmentLog, Pairs), String> {
     let mut all = Pairs::new();
     let mut read = |k: &[u8], v: &[u8]| {
-        all.insert(k.try_into().expect("a key"), v.to_vec());
+        all.insert(k.try_into().expect("valid key"), v.to_vec());
     };
-    let s = SegmentLog::open(dir.to_str().expect("a path"), 0, 1 << 20, &mut read).map_err(|e| e.to_string())?;
+    let s = SegmentLog::open(dir.to_str().expect("valid path"), 0, 1 << 20, &mut read).map_err(|e| e.to_string())?;
     Ok((s, all))
 }
 
 fn files(dir: &Path) -> Vec<(PathBuf, Vec<u8>)> {
     let mut all: Vec<(PathBuf, Vec<u8>)> = std::fs::read_dir(dir)
-        .expect("a folder")
-        .map(|f| f.expect("an entry").path())
-        .map(|p| (p.clone(), std::fs::read(&p).expect("a file")))
+        .expect("directory access")
+        .map(|f| f.expect("directory entry").path())
+        .map(|p| (p.clone(), std::fs::read(&p).expect("file access")))
         .collect();
     all.sort();
     all
 }
 
-fn lay(dir: &Path, files: &[(PathBuf, Vec<u8>)]) {
+fn write_files(dir: &Path, files: &[(PathBuf, Vec<u8>)]) {
     let _ = std::fs::remove_dir_all(dir);
-    std::fs::create_dir_all(dir).expect("a folder");
+    std::fs::create_dir_all(dir).expect("directory access");
     for (p, data) in files {
-        std::fs::write(dir.join(p.file_name().expect("a name")), data).expect("a file");
+        std::fs::write(dir.join(p.file_name().expect("valid name")), data).expect("file access");
     }
 }
 
-/// Batches like those of a partition's log: entries, a small record that is
-/// written over, cuts from either end.
+/// Batches like those of a partition's log: entries, a small record that is overwritten, and
+/// truncations at either end.
 fn batches() -> Vec<Vec<Op>> {
     let mut all = Vec::new();
     for n in 0..14u64 {
@@ -77,9 +77,9 @@
 }
 
 #[test]
-fn every_cut_and_tear_leaves_what_was_acknowledged() {
-    let (dir, again) = (folder("cuts"), folder("cuts-again"));
-    let (mut s, _) = open(&dir).expect("an empty folder");
+fn acknowledged_batches_survive_every_truncated_or_torn_write() {
+    let (dir, again) = (new_dir("cuts"), new_dir("cuts-again"));
+    let (mut s, _) = open(&dir).expect("log opens");
     let mut model = Pairs::new();
     for ops in batches() {
         let (before, old) = (files(&dir), model.clone());
@@ -92,32 +92,32 @@
             for torn in [false, true] {
                 let mut left = after.clone();
                 if torn {
-                    // The length is there, a part of the bytes is not.
+                    // The file has its full length, but some of its bytes were not written.
                     left[last].1[synced..cut].iter_mut().step_by(3).for_each(|b| *b = 0);
                 } else {
                     left[last].1.truncate(cut);
                 }
-                lay(&again, &left);
-                let (mut s, found) = open(&again).expect("it opens");
-                assert!(found == old || found == model, "half a batch at {cut}");
-                // What was read stays, whatever comes now.
+                write_files(&again, &left);
+                let (mut s, found) = open(&again).expect("log opens");
+                assert!(found == old || found == model, "part of a batch at {cut}");
+                // Data that was read is still there after another write.
                 s.commit(&[Op::Put(key(b'x', 0, 0), vec![1].into())]).expect("written");
                 drop(s);
-                let (_, then) = open(&again).expect("it opens again");
+                let (_, then) = open(&again).expect("log opens");
                 assert_eq!(then.len(), found.len() + 1);
             }
         }
     }
-    let (_, found) = open(&dir).expect("it opens");
+    let (_, found) = open(&dir).expect("log opens");
     assert_eq!(found, model);
 }
 
 #[test]
-fn freed_segments_may_come_back_and_change_nothing() {
-    let (dir, again) = (folder("freed"), folder("freed-again"));
-    let (mut s, _) = open(&dir).expect("an empty folder");
+fn removed_segments_that_reappear_change_nothing() {
+    let (dir, again) = (new_dir("freed"), new_dir("freed-again"));
+    let (mut s, _) = open(&dir).expect("log opens");
     let mut model = Pairs::new();
-    let mut lost: Option<Vec<(PathBuf, Vec<u8>)>> = None;
+    let mut before_removal: Option<Vec<(PathBuf, Vec<u8>)>> = None;
     for n in 0..60u64 {
         let mut ops = vec![Op::Put(key(b'l', 1, n), vec![n as u8; 60 << 10].into())];
         if n >= 4 {
@@ -132,73 +132,73 @@
         s.compact().expect("cleaned");
         let after = files(&dir);
         if after.len() < before.len() {
-            lost = Some(before);
+            before_removal = Some(before);
         }
-        if let Some(b) = &lost {
-            // The newest removal was not durable: the oldest segment is back.
+        if let Some(b) = &before_removal {
+            // The last removal was not durable: the oldest segment reappears.
             let mut left = after.clone();
             if let Some(old) = b.first().filter(|f| after.iter().all(|a| a.0 != f.0)) {
                 left.insert(0, old.clone());
             }
-            lay(&again, &left);
-            assert_eq!(open(&again).expect("it opens").1, model);
+            write_files(&again, &left);
+            assert_eq!(open(&again).expect("log opens").1, model);
         }
     }
-    assert!(lost.is_some(), "something was freed");
+    assert!(before_removal.is_some(), "a segment was removed");
     assert!(s.used_bytes() < 2 << 20, "{}", s.used_bytes());
-    assert_eq!(open(&dir).expect("it opens").1, model);
+    assert_eq!(open(&dir).expect("log opens").1, model);
 }
 
 #[test]
-fn a_missing_middle_is_refused() {
-    let dir = folder("gap");
-    let (mut s, _) = open(&dir).expect("an empty folder");
+fn gap_in_the_batch_numbers_is_refused() {
+    let dir = new_dir("gap");
+    let (mut s, _) = open(&dir).expect("log opens");
     for n in 0..12u64 {
         s.commit(&[Op::Put(key(b'l', 1, n), vec![0; 100 << 10].into())]).expect("written");
     }
     let all = files(&dir);
     assert!(all.len() > 2);
-    let mut holed = all.clone();
-    let at = holed[1].1.len() / 2;
-    holed[1].1[at] ^= 0xff;
-    lay(&dir, &holed);
+    let mut damaged = all.clone();
+    let at = damaged[1].1.len() / 2;
+    damaged[1].1[at] ^= 0xff;
+    write_files(&dir, &damaged);
     let why = open(&dir).err().expect("refused");
     assert!(why.contains("missing"), "{why}");
 }
 
 #[test]
-fn a_refused_write_counts_once_it_is_taken() {
-    let (dir, away) = (folder("refused"), folder("refused-away"));
+fn failed_write_takes_effect_only_once_it_succeeds() {
+    let (dir, away) = (new_dir("refused"), new_dir("refused-away"));
     std::fs::remove_dir(&away).expect("removed");
-    let (mut s, _) = open(&dir).expect("an empty folder");
+    let (mut s, _) = open(&dir).expect("log opens");
     let mut model = Pairs::new();
     for n in 0..9u64 {
         let ops = vec![Op::Put(key(b'l', 1, n), vec![n as u8; 100 << 10].into())];
-        // Where a new segment is due, the disk refuses it for a while.
+        // The directory is moved away, so that a new segment cannot be created.
         std::fs::rename(&dir, &away).expect("moved");
-        let refused = s.commit(&ops).is_err();
+        let has_failed = s.commit(&ops).is_err();
         std::fs::rename(&away, &dir).expect("moved back");
-        if refused {
-            assert_eq!(open_copy(&dir).expect("it opens"), model, "nothing of it counts yet");
-            s.commit(&ops).expect("taken now");
+        if has_failed {
+            assert_eq!(recover_copy(&dir).expect("log opens"), model, "no part of the batch takes effect");
+            s.commit(&ops).expect("written");
         }
         apply(&mut model, &ops);
-        assert_eq!(open_copy(&dir).expect("it opens"), model);
+        assert_eq!(recover_copy(&dir).expect("log opens"), model);
     }
-    assert!(files(&dir).len() > 2, "segments were begun");
+    assert!(files(&dir).len() > 2, "new segments were started");
 }
 
-/// What a process would find that started now.
-fn open_copy(dir: &Path) -> Result<Pairs, String> {
-    let copy = folder("copy");
-    lay(&copy, &files(dir));
+/// The pairs that a process started now would recover.
+fn recover_copy(dir: &Path) -> Result<Pairs, String> {
+    let copy = new_dir("copy");
+    write_files(&copy, &files(dir));
     Ok(open(&copy)?.1)
 }
 
 #[test]
-fn a_rewrite_that_failed_comes_before_anything_else_and_loses_nothing() {
-    let dir = folder("redo");
-    let (mut s, _) = open(&dir).expect("a store");
+fn failed_compaction_is_retried_before_any_other_batch_and_loses_nothing() {
+    let dir = new_dir("redo");
+    let (mut s, _) = open(&dir).expect("log opens");
     let kept = key(b'k', 1, 1);
     let mut model = Pairs::new();
     let mut put = |s: &mut SegmentLog, k: Key, v: Vec<u8>| {
@@ -206,25 +206,25 @@
         model.insert(k, v);
     };
     put(&mut s, kept, vec![7; 90]);
-    let newest = |dir: &Path| files(dir).last().map(|(p, d)| (p.clone(), d.len())).expect("a segment");
+    let newest = |dir: &Path| files(dir).last().map(|(p, d)| (p.clone(), d.len())).expect("valid segment");
     let mut n = 0u8;
-    // Old segments full of what was written over, and the newest one full as well.
+    // Fills the old segments with overwritten values, and the newest one up to its limit.
     while s.used_bytes() < 1 << 20 || newest(&dir).1 < 256 << 10 {
         put(&mut s, key(b'x', 1, 1), vec![n; 50_000]);
         n = n.wrapping_add(1);
     }
-    // The next segment cannot be begun.
+    // A directory of its name keeps the next segment from being created.
     let name = newest(&dir).0;
-    let id: u64 = name.file_stem().and_then(|n| n.to_str()).and_then(|n| n.parse().ok()).expect("a number");
+    let id: u64 = name.file_stem().and_then(|n| n.to_str()).and_then(|n| n.parse().ok()).expect("valid number");
     let blocked = dir.join(format!("{:010}.log", id + 1));
-    std::fs::create_dir(&blocked).expect("a folder");
-    assert!(s.compact().is_err(), "there was something to free");
-    assert!(s.commit(&[Op::Put(key(b'y', 1, 1), vec![1].into())]).is_err(), "nothing counts before it");
+    std::fs::create_dir(&blocked).expect("directory access");
+    assert!(s.compact().is_err(), "compaction was due");
+    assert!(s.commit(&[Op::Put(key(b'y', 1, 1), vec![1].into())]).is_err(), "nothing is written before the retry");
     std::fs::remove_dir(&blocked).expect("removed");
     put(&mut s, key(b'y', 1, 1), vec![2]);
-    s.compact().expect("freed");
+    s.compact().expect("compacted");
     drop(s);
-    let (_, read) = open(&dir).expect("whole");
+    let (_, read) = open(&dir).expect("recovered");
     assert_eq!(read, model);
     let _ = std::fs::remove_dir_all(&dir);
 }
