--- a/crates/http1/tests/clients.rs
+++ b/crates/http1/tests/clients.rs
@@ -1,5 +1,5 @@
-//! The client's side on loopback: requests pipelined, cut, never ended; answers in
-//! order, each whole or visibly not.
+//! Server behavior as seen by clients on loopback: pipelined, truncated and incomplete requests get
+//! responses in order, each complete or recognizably not.
 
 use bytes::{Bytes, BytesMut};
 use http1::*;
@@ -11,13 +11,13 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-const WAIT: Duration = Duration::from_secs(3);
+const READ_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// A server that notes which requests ran, by path, and answers with as many bytes as
-/// the path's last part says.
+/// Starts a server that records the paths of the requests that ran, and responds with as many bytes as
+/// the last part of the path says.
 async fn server(header_ms: u64) -> (String, Arc<Mutex<Vec<String>>>, watch::Sender<Closing>) {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("an address").to_string();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+    let addr = listener.local_addr().expect("local address").to_string();
     let ran: Arc<Mutex<Vec<String>>> = Arc::default();
     let (all, (closing, closed)) = (ran.clone(), watch::channel(Closing::Open));
     let bounds = move || Bounds { header_ms, ..Bounds::default() };
@@ -30,12 +30,16 @@
     (addr, all, closing)
 }
 
-/// The answers on a connection until it ends: path, length of the request's body and
-/// of the answer's. An answer that is not whole panics.
+/// Reads the responses on a connection to its end: path, length of the request body (or the status)
+/// and length of the response body. Panics if a response is incomplete.
 async fn answers(s: &mut TcpStream, heads: &[bool]) -> Vec<(String, usize, usize)> {
     let (mut buf, mut all) = (BytesMut::new(), Vec::new());
     let more = async |buf: &mut BytesMut, s: &mut TcpStream| {
-        tokio::time::timeout(WAIT, s.read_buf(buf)).await.expect("an answer or an end").unwrap_or(0) > 0
+        tokio::time::timeout(READ_TIMEOUT, s.read_buf(buf))
+            .await
+            .expect("response or end of the connection")
+            .unwrap_or(0)
+            > 0
     };
     loop {
         let answers_head = heads.get(all.len()).copied().unwrap_or(false);
@@ -51,7 +55,7 @@
                 all.push((text("X-Of"), text("X-Got").parse().unwrap_or(usize::from(a.status)), size));
             }
             None if !more(&mut buf, s).await => {
-                assert!(buf.is_empty(), "half an answer: {buf:?}");
+                assert!(buf.is_empty(), "incomplete response: {buf:?}");
                 return all;
             }
             None => {}
@@ -60,43 +64,45 @@
 }
 
 #[derive(Clone, Debug)]
-struct Ask {
+struct TestRequest {
     head: bool,
     chunked: bool,
     expect: bool,
-    body: usize,
-    wants: usize,
+    body_len: usize,
+    response_len: usize,
 }
 
-fn text(n: usize, a: &Ask) -> Vec<u8> {
+fn encode(n: usize, a: &TestRequest) -> Vec<u8> {
     let method = if a.head { "HEAD" } else { "POST" };
-    let mut t = format!("{method} /{n}/{} HTTP/1.1\r\nHost: h\r\n", a.wants);
+    let mut t = format!("{method} /{n}/{} HTTP/1.1\r\nHost: h\r\n", a.response_len);
     if a.expect {
         t += "Expect: 100-continue\r\n";
     }
-    let body = "b".repeat(a.body);
+    let body = "b".repeat(a.body_len);
     match a.chunked {
-        true if a.body > 0 => t += &format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", a.body),
+        true if a.body_len > 0 => {
+            t += &format!("Transfer-Encoding: chunked\r\n\r\n{:x}\r\n{body}\r\n0\r\n\r\n", a.body_len)
+        }
         true => t += "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
-        false => t += &format!("Content-Length: {}\r\n\r\n{body}", a.body),
+        false => t += &format!("Content-Length: {}\r\n\r\n{body}", a.body_len),
     }
     t.into_bytes()
 }
 
-/// Sends requests back to back in pieces; the last one may be cut.
-async fn play(asks: Vec<Ask>, pieces: Vec<usize>, cut: usize) {
+/// Sends pipelined requests in pieces; the last one may be truncated.
+async fn run_case(requests: Vec<TestRequest>, pieces: Vec<usize>, truncated_by: usize) {
     let (addr, ran, _open) = server(3000).await;
     let mut s = TcpStream::connect(&addr).await.expect("connected");
-    let mut out: Vec<u8> = asks.iter().enumerate().flat_map(|(n, a)| text(n, a)).collect();
-    let last = text(asks.len() - 1, &asks[asks.len() - 1]).len();
-    let cut = cut % last;
-    out.truncate(out.len() - cut);
-    let whole = asks.len() - usize::from(cut > 0);
+    let mut out: Vec<u8> = requests.iter().enumerate().flat_map(|(n, a)| encode(n, a)).collect();
+    let last = encode(requests.len() - 1, &requests[requests.len() - 1]).len();
+    let truncated_by = truncated_by % last;
+    out.truncate(out.len() - truncated_by);
+    let complete = requests.len() - usize::from(truncated_by > 0);
     let (_read, mut write) = s.split();
     let mut at = 0;
     for piece in pieces.iter().cycle() {
         let end = (at + piece).min(out.len());
-        write.write_all(&out[at..end]).await.expect("room");
+        write.write_all(&out[at..end]).await.expect("sent");
         tokio::task::yield_now().await;
         at = end;
         if at == out.len() {
@@ -104,49 +110,55 @@
         }
     }
     write.shutdown().await.expect("shut");
-    let heads: Vec<bool> = asks.iter().map(|a| a.head).collect();
+    let heads: Vec<bool> = requests.iter().map(|a| a.head).collect();
     let got = answers(&mut s, &heads).await;
-    let size = |a: &Ask| if a.head { 0 } else { a.wants };
-    let wanted = asks[..whole].iter().enumerate().map(|(n, a)| (format!("/{n}/{}", a.wants), a.body, size(a)));
+    let size = |a: &TestRequest| if a.head { 0 } else { a.response_len };
+    let wanted =
+        requests[..complete].iter().enumerate().map(|(n, a)| (format!("/{n}/{}", a.response_len), a.body_len, size(a)));
     assert_eq!(got, wanted.clone().collect::<Vec<_>>());
-    assert_eq!(*ran.lock().unwrap(), wanted.map(|w| w.0).collect::<Vec<_>>(), "each ran once, and none that was cut");
+    assert_eq!(
+        *ran.lock().unwrap(),
+        wanted.map(|w| w.0).collect::<Vec<_>>(),
+        "each complete request ran once, and no truncated one"
+    );
 }
 
 #[test]
-fn pipelined_and_cut_requests_run_once_or_not_and_are_answered_in_order() {
-    let ask = (any::<bool>(), any::<bool>(), any::<bool>(), 0..300usize, 0..300usize)
-        .prop_map(|(head, chunked, expect, body, wants)| Ask { head, chunked, expect, body, wants });
+fn pipelined_requests_run_once_in_order_and_truncated_ones_never() {
+    let ask = (any::<bool>(), any::<bool>(), any::<bool>(), 0..300usize, 0..300usize).prop_map(
+        |(head, chunked, expect, body_len, response_len)| TestRequest { head, chunked, expect, body_len, response_len },
+    );
     let all = (prop::collection::vec(ask, 1..6), prop::collection::vec(1..400usize, 1..8), any::<usize>());
     let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     let cases = std::env::var("ANSWERS_CASES").ok().and_then(|n| n.parse().ok()).unwrap_or(200);
     let seed = RngSeed::Fixed(8);
     TestRunner::new(ProptestConfig { cases, failure_persistence: None, rng_seed: seed, ..ProptestConfig::default() })
-        .run(&all, |(asks, pieces, cut)| {
-            rt.block_on(play(asks, pieces, cut));
+        .run(&all, |(requests, pieces, truncated_by)| {
+            rt.block_on(run_case(requests, pieces, truncated_by));
             Ok(())
         })
         .expect("no case fails");
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn an_answer_that_ends_its_connection_comes_whole_whatever_is_sent_behind_the_request() {
+async fn response_that_closes_its_connection_is_complete_despite_further_input() {
     let (addr, ran, _open) = server(3000).await;
     let mut s = TcpStream::connect(&addr).await.expect("connected");
-    // More than both sides' buffers hold: it is being written all the while.
+    // More than the socket buffers hold, so that the response is still being written meanwhile.
     let big = 48 << 20;
     let close = format!("GET /0/{big} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-    s.write_all(close.as_bytes()).await.expect("room");
-    // Read slowly, while more is sent that nobody reads.
+    s.write_all(close.as_bytes()).await.expect("sent");
+    // Sends more that the server does not handle, before the response is read.
     for _ in 0..20 {
         tokio::time::sleep(Duration::from_millis(5)).await;
         let _ = s.try_write(b"GET /1/1 HTTP/1.1\r\nHost: h\r\n\r\n");
     }
     assert_eq!(answers(&mut s, &[]).await, [(format!("/0/{big}"), 0, big)]);
-    assert_eq!(ran.lock().unwrap().len(), 1, "what follows a request that closes never runs");
+    assert_eq!(ran.lock().unwrap().len(), 1, "no request after one with Connection: close runs");
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_body_that_never_ends_is_told_not_taken_and_an_error_ends_the_connection() {
+async fn incomplete_request_is_rejected_and_an_error_closes_the_connection() {
     let (addr, ran, _open) = server(200).await;
     for (sent, status) in [
         ("POST /0/1 HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nabc", 408),
@@ -159,7 +171,7 @@
         ("HEAD /0/1 HTTP/1.1\r\nHost: h\r\nExpect: more\r\n\r\nGET /1/1 HTTP/1.1\r\nHost: h\r\n\r\n", 417),
     ] {
         let mut s = TcpStream::connect(&addr).await.expect("connected");
-        s.write_all(sent.as_bytes()).await.expect("room");
+        s.write_all(sent.as_bytes()).await.expect("sent");
         let got = answers(&mut s, &[]).await;
         assert_eq!(got.iter().map(|g| g.1).collect::<Vec<_>>(), [status], "{sent:?}");
     }
@@ -167,13 +179,13 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_client_that_went_away_leaves_nothing_to_the_next_one() {
+async fn disconnected_clients_do_not_affect_later_ones() {
     let (addr, ran, _open) = server(3000).await;
     for n in 0..20 {
         let mut s = TcpStream::connect(&addr).await.expect("connected");
-        s.write_all(format!("GET /{n}/100000 HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()).await.expect("room");
+        s.write_all(format!("GET /{n}/100000 HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()).await.expect("sent");
         if n % 2 == 0 {
-            // Reset, at once or while the answer is being written.
+            // Resets the connection, at once or while the response is being written.
             if n % 4 == 0 {
                 let _ = s.read_u8().await;
             }
@@ -188,30 +200,30 @@
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn an_idle_connection_lives_by_the_limits_of_the_newest_configuration() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("an address").to_string();
+async fn idle_connection_follows_the_limits_of_the_current_configuration() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+    let addr = listener.local_addr().expect("local address").to_string();
     let idle = Arc::new(Mutex::new(100));
     let (told, (_open, closed)) = (idle.clone(), watch::channel(Closing::Open));
     let bounds = move || Bounds { idle_ms: *told.lock().unwrap(), ..Bounds::default() };
     tokio::spawn(listen(listener, bounds, closed, ClientWatch::Off, |_| async { Reply::new(200) }));
     let mut s = TcpStream::connect(&addr).await.expect("connected");
-    s.write_all(b"GET /0/0 HTTP/1.1\r\nHost: h\r\n\r\n").await.expect("room");
-    // Raised while the connection rests, which is used again within the new limit.
+    s.write_all(b"GET /0/0 HTTP/1.1\r\nHost: h\r\n\r\n").await.expect("sent");
+    // Raises the limit while the connection is idle, then uses it within the new limit.
     tokio::time::sleep(Duration::from_millis(50)).await;
     *idle.lock().unwrap() = 1000;
     tokio::time::sleep(Duration::from_millis(250)).await;
-    s.write_all(b"GET /1/0 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").await.expect("room");
+    s.write_all(b"GET /1/0 HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n").await.expect("sent");
     assert_eq!(answers(&mut s, &[]).await.len(), 2);
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_server_that_ends_answers_what_it_has_read_and_reads_no_more() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("an address").to_string();
+async fn server_that_shuts_down_answers_what_it_has_read_and_accepts_nothing_new() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+    let addr = listener.local_addr().expect("local address").to_string();
     let (closing, closed) = watch::channel(Closing::Open);
     let ending = closed.clone();
-    // Requests run for as long as their path says, or until the process is about to end.
+    // Requests run for as long as their path says, or until the process is about to exit.
     tokio::spawn(listen(listener, Bounds::default, closed, ClientWatch::Off, move |r: Request| {
         let mut ending = ending.clone();
         async move {
@@ -224,29 +236,29 @@
     }));
     let ask = async |ms: u64| {
         let mut s = TcpStream::connect(&addr).await.expect("connected");
-        s.write_all(format!("GET /0/{ms} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()).await.expect("room");
+        s.write_all(format!("GET /0/{ms} HTTP/1.1\r\nHost: h\r\n\r\n").as_bytes()).await.expect("sent");
         s
     };
     let (mut short, mut long) = (ask(100).await, ask(60_000).await);
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     let grace = Duration::from_millis(2000);
     let (_, mut late) = tokio::join!(shut_down_gracefully(&closing, grace, Duration::from_millis(5), || true), async {
         tokio::time::sleep(grace / 4).await;
         ask(300).await
     });
-    let took = begun.elapsed();
+    let took = started.elapsed();
     assert!(took > grace / 2 && took < grace, "{took:?}");
     let statuses = async |s: &mut TcpStream| answers(s, &[]).await.iter().map(|a| a.1).collect::<Vec<_>>();
     assert_eq!((statuses(&mut short).await, statuses(&mut late).await), (vec![200], vec![200]));
-    assert_eq!(statuses(&mut long).await, [503], "told at the end, not cut");
-    assert!(TcpStream::connect(&addr).await.is_err(), "nothing new is taken");
+    assert_eq!(statuses(&mut long).await, [503], "answered at the end of the shutdown");
+    assert!(TcpStream::connect(&addr).await.is_err(), "no new connection is accepted");
 }
 
 #[tokio::test(flavor = "current_thread")]
-async fn a_handler_is_told_that_its_client_has_left_and_not_that_it_sent_another_request() {
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let addr = listener.local_addr().expect("an address").to_string();
+async fn handler_is_notified_of_a_disconnect_but_not_of_a_pipelined_request() {
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("bind to a free port");
+    let addr = listener.local_addr().expect("local address").to_string();
     let (_closing, closed) = watch::channel(Closing::Open);
     let left: Arc<Mutex<Vec<(String, bool)>>> = Arc::default();
     let noted = left.clone();
@@ -259,14 +271,14 @@
         }
     }));
     let mut stays = TcpStream::connect(&addr).await.expect("connected");
-    // Both at once: the second is read while the first is handled.
-    stays.write_all(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n").await.expect("room");
+    // Two pipelined requests: the second is read while the first is handled.
+    stays.write_all(b"GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n").await.expect("sent");
     let mut leaves = TcpStream::connect(&addr).await.expect("connected");
-    leaves.write_all(b"GET /3 HTTP/1.1\r\nHost: h\r\n\r\n").await.expect("room");
+    leaves.write_all(b"GET /3 HTTP/1.1\r\nHost: h\r\n\r\n").await.expect("sent");
     tokio::time::sleep(Duration::from_millis(50)).await;
     drop(leaves);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    assert_eq!(*left.lock().unwrap(), [("/3".to_owned(), true)], "told at once");
+    assert_eq!(*left.lock().unwrap(), [("/3".to_owned(), true)], "notified at once");
     tokio::time::sleep(Duration::from_millis(700)).await;
     assert_eq!(left.lock().unwrap()[1..], [("/1".to_owned(), false), ("/2".to_owned(), false)]);
     drop(stays);
