--- a/crates/http1/tests/parse.rs
+++ b/crates/http1/tests/parse.rs
@@ -1,4 +1,4 @@
-//! What is turned away before anything is passed on.
+//! Strict parsing of requests: what is rejected, and what is left in the buffer.
 
 use bytes::BytesMut;
 use http1::*;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn ambiguous_lengths_are_turned_away() {
+fn ambiguous_and_malformed_heads_are_rejected() {
     let p = "POST /a HTTP/1.1\r\nHost: h\r\n";
     for bad in [
         "Content-Length: 5\r\nContent-Length: 5\r\n",
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn what_is_too_large_is_turned_away() {
+fn oversized_requests_are_rejected() {
     assert_eq!(status("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\n"), 413);
     assert_eq!(status(&format!("POST /a HTTP/1.1\r\nHost: h\r\nX: {}\r\n\r\n", "x".repeat(600))), 431);
     assert_eq!(status(&format!("POST /a HTTP/1.1\r\nHost: h\r\nX: {}", "x".repeat(600))), 431);
@@ -46,30 +46,30 @@
 }
 
 #[test]
-fn a_whole_head_leaves_the_body_and_what_follows() {
+fn parsing_a_head_leaves_the_body_and_later_bytes_in_the_buffer() {
     let mut buf =
         BytesMut::from("POST /a?b HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\nConnection: close\r\n\r\nabcGET");
-    let (r, f, _) = take_head(&mut buf, &Bounds::default()).expect("good").expect("whole");
+    let (r, f, _) = take_head(&mut buf, &Bounds::default()).expect("valid").expect("complete");
     assert_eq!((r.path.as_str(), f, r.keep), ("/a?b", Framing::Length(3), false));
     assert_eq!(&buf[..], b"abcGET");
-    assert!(head("POST /a HTTP/1.1\r\nHost: h\r\n").expect("good so far").is_none());
+    assert!(head("POST /a HTTP/1.1\r\nHost: h\r\n").expect("valid so far").is_none());
 }
 
 #[test]
-fn chunks_may_be_cut_anywhere_and_must_be_exact() {
+fn chunked_body_may_arrive_in_any_pieces_but_must_be_well_formed() {
     let text = b"3;x=y\r\nabc\r\nA\r\n0123456789\r\n0\r\nTrail: er\r\n\r\nNEXT";
-    for cut in 0..text.len() {
-        let (mut c, mut buf) = (Chunks::default(), BytesMut::from(&text[..cut]));
-        let mut got = c.take(&mut buf, 100).expect("good");
+    for split in 0..text.len() {
+        let (mut c, mut buf) = (Chunks::default(), BytesMut::from(&text[..split]));
+        let mut got = c.take(&mut buf, 100).expect("valid");
         if got.is_none() {
-            buf.extend_from_slice(&text[cut..]);
-            got = c.take(&mut buf, 100).expect("good");
+            buf.extend_from_slice(&text[split..]);
+            got = c.take(&mut buf, 100).expect("valid");
         }
-        assert_eq!(got.as_deref(), Some(&b"abc0123456789"[..]), "cut at {cut}");
+        assert_eq!(got.as_deref(), Some(&b"abc0123456789"[..]), "split at {split}");
     }
     let mut c = Chunks::default();
     let mut buf = BytesMut::from(&text[..]);
-    c.take(&mut buf, 100).expect("good");
+    c.take(&mut buf, 100).expect("valid");
     assert_eq!(&buf[..], b"NEXT");
     for bad in ["3\r\nabcd\r\n", "x\r\n", "\r\n", "-1\r\n", "3\nabc\r\n", "fffffffff\r\n"] {
         let e = Chunks::default().take(&mut BytesMut::from(bad), 100).expect_err(bad);
