--- a/crates/willowslip/src/main.rs
+++ b/crates/willowslip/src/main.rs
@@ -1,4 +1,5 @@
-//! willowslip: takes in, keeps and delivers messages. A subcommand a role.
+//! The `willowslip` binary: one subcommand per node role, the operators' client and a checker for settings and
+//! configurations.
 
 mod ctl;
 mod summary;
@@ -8,13 +9,13 @@
 use std::process::ExitCode;
 use tokio::sync::watch;
 
-/// The version, with the commit that the program was built from.
+/// Package version and build commit, set by `build.rs`.
 const VERSION: &str = env!("WILLOWSLIP_VERSION");
 
 #[derive(Parser)]
-#[command(name = "willowslip", version = VERSION, about = "Takes in, keeps and delivers messages.")]
+#[command(name = "willowslip", version = VERSION, about = "Accepts, stores and delivers messages.")]
 struct Cli {
-    /// How much is logged: error, change or debug (over what the settings say).
+    /// Log level: error, change or debug; overrides the settings.
     #[arg(long, global = true)]
     log: Option<String>,
     #[command(subcommand)]
@@ -23,21 +24,21 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Front machines: takes messages from clients, carries out deliveries.
+    /// Front machines: accepts messages from clients and carries out deliveries.
     Front,
-    /// Front machines of a platform for functions: passes requests on, keeps slots.
+    /// Front machines of a function platform: forwards requests and manages slots.
     Functions,
-    /// Front machines of an API gateway: passes requests on to processors of the platform.
+    /// Front machines of an API gateway: forwards requests to processors of the platform.
     Gateway,
-    /// Front machines: keeps the session with the control plane, feeds the front.
+    /// Front machines: maintains the session with the control plane and passes its updates to the front process.
     Agent,
-    /// Store machines: owns and replicates partitions of messages.
+    /// Store machines: owns and replicates message partitions.
     Store,
-    /// Core machines: the majority log, sessions, duties, the operator's interface.
+    /// Core machines: the Raft log, sessions, duties and the operator API.
     Control,
-    /// The operators' client.
+    /// Command-line client for operators.
     Ctl(ctl::Ctl),
-    /// Checks a settings file or a configuration without using it.
+    /// Validates a settings file or a configuration without applying it.
     Check {
         /// A settings file in TOML.
         #[arg(long)]
@@ -65,7 +66,7 @@
     };
     let level = cli.log.clone().unwrap_or_else(|| settings.log_level.clone());
     if !level.is_empty() && !telemetry::set_level(&level) {
-        eprintln!("--log: wants error, change or debug, not {level:?}");
+        eprintln!("--log: expected error, change or debug, got {level:?}");
         return ExitCode::from(2);
     }
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
@@ -77,10 +78,10 @@
     };
     telemetry::end_process_on_panic();
     telemetry::change!("willowslip {VERSION}: {} on {}", settings.role, settings.node);
-    let ended = runtime.block_on(async {
+    let result = runtime.block_on(async {
         let (stop, stopped) = watch::channel(false);
         let (changed, updates) = watch::channel(settings.clone());
-        tokio::spawn(signals(stop, changed, path, cli.log));
+        tokio::spawn(handle_signals(stop, changed, path, cli.log));
         match cli.command {
             Command::Front => front::run(settings, stopped).await,
             Command::Functions => functions::run(settings, stopped).await,
@@ -90,7 +91,7 @@
             _ => control::run(settings, stopped, updates).await,
         }
     });
-    match ended {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
         Err(e) => {
             telemetry::error!("{e}");
@@ -99,16 +100,21 @@
     }
 }
 
-/// SIGTERM and SIGINT stop the program in order; SIGHUP, and a file that changed
-/// without one, have the settings read again.
-async fn signals(stop: watch::Sender<bool>, changed: watch::Sender<Settings>, path: String, log: Option<String>) {
+/// Handles SIGTERM and SIGINT by a graceful shutdown, and SIGHUP by reading the settings again. The file is also
+/// polled, so a change is picked up without a signal.
+async fn handle_signals(
+    stop: watch::Sender<bool>,
+    changed: watch::Sender<Settings>,
+    path: String,
+    log: Option<String>,
+) {
     use tokio::signal::unix::{SignalKind, signal};
     let (Ok(mut term), Ok(mut int), Ok(mut hup)) =
         (signal(SignalKind::terminate()), signal(SignalKind::interrupt()), signal(SignalKind::hangup()))
     else {
         return;
     };
-    let mut seen = std::fs::read_to_string(&path).unwrap_or_default();
+    let mut current_text = std::fs::read_to_string(&path).unwrap_or_default();
     loop {
         tokio::select! {
             _ = term.recv() => break,
@@ -117,27 +123,27 @@
             _ = tokio::time::sleep(std::time::Duration::from_secs(5)) => {}
         }
         let Ok(text) = std::fs::read_to_string(&path) else { continue };
-        if text == seen {
+        if text == current_text {
             continue;
         }
-        seen = text;
-        match Settings::parse(&seen) {
-            Ok(c) => {
+        current_text = text;
+        match Settings::parse(&current_text) {
+            Ok(settings) => {
                 telemetry::change!("settings changed");
-                if log.is_none() && !c.log_level.is_empty() {
-                    telemetry::set_level(&c.log_level);
+                if log.is_none() && !settings.log_level.is_empty() {
+                    telemetry::set_level(&settings.log_level);
                 }
-                let _ = changed.send(c);
+                let _ = changed.send(settings);
             }
-            Err(e) => telemetry::error!("{e}; the old values stay in force"),
+            Err(e) => telemetry::error!("{e}; the previous settings stay in force"),
         }
     }
     let _ = stop.send(true);
     std::future::pending::<()>().await;
 }
 
-/// What a configuration says of tenants; nothing where it has none.
-fn tenants_in(configuration: &config::Configuration) -> String {
+/// Counts tenants and routes without a key; empty for a configuration without tenants.
+fn describe_tenants(configuration: &config::Configuration) -> String {
     if configuration.tenants.is_none() {
         return String::new();
     }
@@ -145,9 +151,9 @@
     format!(", {} tenants, {unkeyed} routes without a key", configuration.tenants().len())
 }
 
-/// What the homes of a configuration mean for copies: a line for each region that anything is
-/// bound to, by the settings if there are any.
-fn homes_in(configuration: &config::Configuration, settings: Option<&Settings>) -> String {
+/// Describes the home regions of a configuration, one line each: the routes and tenants bound to the region and,
+/// if settings are given, how many copies are kept in which zones.
+fn describe_home_regions(configuration: &config::Configuration, settings: Option<&Settings>) -> String {
     let index = config::ConfigurationIndex::from(configuration.clone());
     let mut lines = String::new();
     for region in index.home_regions() {
@@ -162,7 +168,10 @@
             lines += &match zones.is_empty() {
                 true => "; no such region in the settings: its requests are refused".to_owned(),
                 false => {
-                    format!("; {copies} copies, all in {}: as many store machines are needed there", zones.join(" "))
+                    format!(
+                        "; {copies} copies, all in {}: at least as many store machines are needed there",
+                        zones.join(" ")
+                    )
                 }
             };
         }
@@ -172,36 +181,37 @@
 }
 
 fn check(settings: Option<String>, config: Option<String>) -> ExitCode {
-    let mut good = true;
-    let mut read_settings = None;
+    let mut is_valid = true;
+    let mut loaded_settings = None;
     if settings.is_none() && config.is_none() {
         eprintln!("nothing to check: give --settings or --config");
         return ExitCode::from(2);
     }
     if let Some(path) = settings {
         match Settings::load(&path) {
-            Ok(c) => {
-                println!("settings of {}: good", c.node);
-                read_settings = Some(c);
+            Ok(settings) => {
+                println!("settings of {}: valid", settings.node);
+                loaded_settings = Some(settings);
             }
             Err(e) => {
                 eprintln!("{e}");
-                good = false;
+                is_valid = false;
             }
         }
     }
     if let Some(path) = config {
         match ctl::read_input(&path).and_then(|b| config::Configuration::read(&b)) {
-            Ok(t) => {
-                print!("configuration {}: good, {} routes, {} services", t.revision, t.routes.len(), t.services.len());
-                println!("{}", tenants_in(&t));
-                print!("{}", homes_in(&t, read_settings.as_ref()));
+            Ok(configuration) => {
+                let (routes, services) = (configuration.routes.len(), configuration.services.len());
+                print!("configuration {}: valid, {routes} routes, {services} services", configuration.revision);
+                println!("{}", describe_tenants(&configuration));
+                print!("{}", describe_home_regions(&configuration, loaded_settings.as_ref()));
             }
             Err(e) => {
                 eprintln!("configuration: {e}");
-                good = false;
+                is_valid = false;
             }
         }
     }
-    if good { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    if is_valid { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
