--- a/crates/willowslip/src/ctl.rs
+++ b/crates/willowslip/src/ctl.rs
@@ -1,4 +1,4 @@
-//! The operators' client.
+//! Command-line client for operators.
 
 use clap::{Args, Subcommand};
 use http1::{Answer, Call, ConnectionPool, SendError};
@@ -11,60 +11,59 @@
     /// Control addresses, separated by commas (front addresses for `message`).
     #[arg(long, env = "WILLOWSLIP_CONTROL")]
     at: String,
-    /// Print answers as the JSON that came.
+    /// Print the JSON of responses unchanged.
     #[arg(long)]
     json: bool,
-    /// Seconds to keep trying.
+    /// Seconds to keep retrying.
     #[arg(long, default_value_t = 5.0)]
     within: f64,
     #[command(subcommand)]
-    what: What,
+    command: CtlCommand,
 }
 
 #[derive(Subcommand)]
-enum What {
-    /// The configuration.
+enum CtlCommand {
+    /// Reading and changing the configuration.
     #[command(subcommand)]
-    Config(Config),
-    /// Moving a service's traffic to a new version.
+    Config(ConfigCommand),
+    /// Rolling a service out to a new version.
     #[command(subcommand)]
-    Rollout(RolloutCall),
-    /// Emptying a store machine.
+    Rollout(RolloutCommand),
+    /// Retiring a store machine.
     #[command(subcommand)]
-    Retire(RetireCall),
-    /// Emptying a zone of what its processors are sent, and taking it back.
+    Retire(RetireCommand),
+    /// Evacuating a zone: nothing more is sent to its processors until the evacuation is finished.
     #[command(subcommand)]
-    Evacuate(EvacuateCall),
-    /// State and bytes of a message.
+    Evacuate(EvacuateCommand),
+    /// State and body of a message.
     #[command(subcommand)]
-    Message(MessageCall),
-    /// Nodes, partitions, duties and counters as one control node knows them: a summary,
-    /// or all of it with `--json`.
+    Message(MessageCommand),
+    /// Nodes, partitions, duties and counters as known to one control node: a summary, or everything with `--json`.
     Status {
-        /// Also each node and partition with this word in a name, zone or role.
+        /// Also list each node and partition with this word in a name, zone or role.
         #[arg(long)]
         only: Option<String>,
     },
-    /// Seat, terms, digests and counters of one node, by its inner address.
+    /// Seat, terms, digests and counters of one node, given its inner address.
     Node { inner: String },
 }
 
 #[derive(Subcommand)]
-enum Config {
-    /// Prints the configuration in force.
+enum ConfigCommand {
+    /// Prints the current configuration.
     Read,
-    /// Puts a whole configuration in place.
+    /// Replaces the whole configuration.
     Replace {
         /// A file, or `-` for standard input.
         file: String,
-        /// The revision it builds on; left out, the one in force.
+        /// The revision that the change is based on; defaults to the current one.
         #[arg(long)]
         base: Option<u64>,
-        /// Only check it.
+        /// Only validate the file.
         #[arg(long)]
         dry_run: bool,
     },
-    /// Changes named items.
+    /// Updates or removes single items.
     Adjust {
         file: String,
         #[arg(long)]
@@ -73,7 +72,7 @@
 }
 
 #[derive(Subcommand)]
-enum RolloutCall {
+enum RolloutCommand {
     Start {
         service: String,
         target: String,
@@ -86,7 +85,7 @@
 }
 
 #[derive(Subcommand)]
-enum RetireCall {
+enum RetireCommand {
     Start {
         node: String,
         #[arg(long, default_value_t = 60.0)]
@@ -98,17 +97,17 @@
 }
 
 #[derive(Subcommand)]
-enum EvacuateCall {
-    /// Sends nothing more to the processors of a zone.
+enum EvacuateCommand {
+    /// Stops sending to the processors of a zone.
     Start { zone: String },
-    /// Takes the zone back.
+    /// Ends the evacuation and returns the zone to service.
     Finish { zone: String },
-    /// Prints the zones that are emptied or on their way back.
+    /// Lists the zones that are evacuated or returning.
     Status,
 }
 
 #[derive(Subcommand)]
-enum MessageCall {
+enum MessageCommand {
     State {
         name: String,
         #[arg(long)]
@@ -122,15 +121,15 @@
 }
 
 impl Ctl {
-    /// Whether the call is an order.
-    fn changes(&self) -> bool {
-        use What::*;
+    /// Whether the command changes the state of the cluster.
+    fn is_mutation(&self) -> bool {
+        use CtlCommand::*;
         matches!(
-            &self.what,
-            Config(self::Config::Replace { .. } | self::Config::Adjust { .. })
-                | Rollout(RolloutCall::Start { .. })
-                | Retire(RetireCall::Start { .. })
-                | Evacuate(EvacuateCall::Start { .. } | EvacuateCall::Finish { .. })
+            &self.command,
+            Config(ConfigCommand::Replace { .. } | ConfigCommand::Adjust { .. })
+                | Rollout(RolloutCommand::Start { .. })
+                | Retire(RetireCommand::Start { .. })
+                | Evacuate(EvacuateCommand::Start { .. } | EvacuateCommand::Finish { .. })
         )
     }
 }
@@ -145,21 +144,29 @@
     Ok(bytes)
 }
 
-/// Why an order brought no answer, and whether it may have taken effect.
+/// Why a request got no conclusive response, and whether it may have taken effect.
 struct Failure {
-    why: String,
-    may_have_run: bool,
+    reason: String,
+    may_have_taken_effect: bool,
 }
 
-async fn ask(ctl: &Ctl, method: &str, path: &str, headers: &[(&str, &str)], body: &[u8]) -> Result<Answer, Failure> {
+/// Sends a request to the addresses in turn, following redirects, until one responds conclusively or `--within` has
+/// passed.
+async fn send_request(
+    ctl: &Ctl,
+    method: &str,
+    path: &str,
+    headers: &[(&str, &str)],
+    body: &[u8],
+) -> Result<Answer, Failure> {
     let pool = ConnectionPool::new(Duration::from_secs(1));
     let addrs: Vec<String> = ctl.at.split(',').map(|a| a.trim().to_owned()).filter(|a| !a.is_empty()).collect();
-    let end = Instant::now() + Duration::from_secs_f64(ctl.within.clamp(0.1, 3600.0));
-    let (mut turn, mut may, mut why) = (0, false, "no address given".to_owned());
-    while Instant::now() < end && !addrs.is_empty() {
-        let mut addr = addrs[turn % addrs.len()].clone();
+    let deadline = Instant::now() + Duration::from_secs_f64(ctl.within.clamp(0.1, 3600.0));
+    let (mut tries, mut may_have_taken_effect, mut reason) = (0, false, "no address given".to_owned());
+    while Instant::now() < deadline && !addrs.is_empty() {
+        let mut addr = addrs[tries % addrs.len()].clone();
         let mut path = path.to_owned();
-        turn += 1;
+        tries += 1;
         for _ in 0..3 {
             let host = headers.iter().find(|h| h.0 == "Host").map_or(addr.as_str(), |h| h.1).to_owned();
             let rest: Vec<(&str, &str)> = headers.iter().filter(|h| h.0 != "Host").copied().collect();
@@ -173,111 +180,114 @@
                     path = to[at..].to_owned();
                 }
                 Ok(a) if a.status >= 500 || a.status == 429 || a.status == 408 => {
-                    may |= a.status != 503 && a.status != 429 && a.status != 408;
-                    why = format!("{addr} answered {}", a.status);
+                    may_have_taken_effect |= a.status != 503 && a.status != 429 && a.status != 408;
+                    reason = format!("{addr} answered {}", a.status);
                     break;
                 }
                 Ok(a) => return Ok(a),
-                Err(m) => {
-                    may |= m != SendError::NotSent;
-                    why = format!("{addr}: {m:?}");
+                Err(e) => {
+                    may_have_taken_effect |= e != SendError::NotSent;
+                    reason = format!("{addr}: {e:?}");
                     break;
                 }
             }
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    Err(Failure { why, may_have_run: may && method != "GET" })
+    Err(Failure { reason, may_have_taken_effect: may_have_taken_effect && method != "GET" })
 }
 
-async fn base_of(ctl: &Ctl, given: Option<u64>) -> Result<String, Failure> {
+/// The revision that a change is based on: the given one, or the current one; 0 without a configuration.
+async fn base_revision(ctl: &Ctl, given: Option<u64>) -> Result<String, Failure> {
     if let Some(b) = given {
         return Ok(b.to_string());
     }
-    let a = ask(ctl, "GET", "/config/read", &[], &[]).await?;
+    let a = send_request(ctl, "GET", "/config/read", &[], &[]).await?;
     if a.status == 404 {
         return Ok("0".into());
     }
     let revision = serde_json::from_slice::<serde_json::Value>(&a.body).ok().and_then(|v| v["revision"].as_u64());
     revision
         .map(|r| r.to_string())
-        .ok_or(Failure { why: "the configuration in force cannot be read".into(), may_have_run: false })
+        .ok_or(Failure { reason: "the current configuration cannot be read".into(), may_have_taken_effect: false })
 }
 
-/// Sends a change of the configuration. The base is part of what it is: sent again
-/// on another one, it is another order.
-async fn put(ctl: &Ctl, path: &str, base: Option<u64>, bytes: &[u8]) -> Result<Answer, Failure> {
-    let base = base_of(ctl, base).await?;
-    ask(ctl, "POST", path, &[("X-Base-Revision", &base)], bytes).await.map_err(|mut f| {
-        if f.may_have_run {
-            f.why += &format!(" (sent with --base {base})");
+/// Sends a change of the configuration. The base revision is part of a change's identity: a repeat with another base
+/// is a different change, so a failure names the base that was sent.
+async fn send_config_change(ctl: &Ctl, path: &str, base: Option<u64>, bytes: &[u8]) -> Result<Answer, Failure> {
+    let base = base_revision(ctl, base).await?;
+    send_request(ctl, "POST", path, &[("X-Base-Revision", &base)], bytes).await.map_err(|mut f| {
+        if f.may_have_taken_effect {
+            f.reason += &format!(" (sent with --base {base})");
         }
         f
     })
 }
 
-async fn order(ctl: &Ctl) -> Result<Answer, Failure> {
-    let bad = |why: String| Failure { why, may_have_run: false };
-    match &ctl.what {
-        What::Config(Config::Read) => ask(ctl, "GET", "/config/read", &[], &[]).await,
-        What::Config(Config::Replace { file, base, dry_run }) => {
-            let bytes = read_input(file).map_err(bad)?;
-            config::Configuration::read(&bytes).map_err(bad)?;
+async fn execute(ctl: &Ctl) -> Result<Answer, Failure> {
+    let not_sent = |reason: String| Failure { reason, may_have_taken_effect: false };
+    match &ctl.command {
+        CtlCommand::Config(ConfigCommand::Read) => send_request(ctl, "GET", "/config/read", &[], &[]).await,
+        CtlCommand::Config(ConfigCommand::Replace { file, base, dry_run }) => {
+            let bytes = read_input(file).map_err(not_sent)?;
+            config::Configuration::read(&bytes).map_err(not_sent)?;
             if *dry_run {
                 return Ok(Answer { status: 200, body: "{\"checked\":true}".into(), ..Answer::default() });
             }
-            put(ctl, "/config/replace", *base, &bytes).await
+            send_config_change(ctl, "/config/replace", *base, &bytes).await
         }
-        What::Config(Config::Adjust { file, base }) => {
-            let bytes = read_input(file).map_err(bad)?;
-            put(ctl, "/config/adjust", *base, &bytes).await
+        CtlCommand::Config(ConfigCommand::Adjust { file, base }) => {
+            let bytes = read_input(file).map_err(not_sent)?;
+            send_config_change(ctl, "/config/adjust", *base, &bytes).await
         }
-        What::Rollout(RolloutCall::Start { service, target, within_s }) => {
+        CtlCommand::Rollout(RolloutCommand::Start { service, target, within_s }) => {
             let body = serde_json::json!({"plant": service, "target": target, "withinS": within_s}).to_string();
-            ask(ctl, "POST", "/rollouts/start", &[], body.as_bytes()).await
+            send_request(ctl, "POST", "/rollouts/start", &[], body.as_bytes()).await
         }
-        What::Rollout(RolloutCall::Read { service }) => {
-            ask(ctl, "GET", &format!("/rollouts/{service}/read"), &[], &[]).await
+        CtlCommand::Rollout(RolloutCommand::Read { service }) => {
+            send_request(ctl, "GET", &format!("/rollouts/{service}/read"), &[], &[]).await
         }
-        What::Retire(RetireCall::Start { node, within_s }) => {
+        CtlCommand::Retire(RetireCommand::Start { node, within_s }) => {
             let body = serde_json::json!({ "withinS": within_s }).to_string();
-            ask(ctl, "POST", &format!("/retire/{node}/start"), &[], body.as_bytes()).await
+            send_request(ctl, "POST", &format!("/retire/{node}/start"), &[], body.as_bytes()).await
         }
-        What::Retire(RetireCall::Read { node }) => ask(ctl, "GET", &format!("/retire/{node}/read"), &[], &[]).await,
-        What::Evacuate(EvacuateCall::Start { zone }) => {
-            ask(ctl, "POST", &format!("/evacuate/{zone}/start"), &[], &[]).await
+        CtlCommand::Retire(RetireCommand::Read { node }) => {
+            send_request(ctl, "GET", &format!("/retire/{node}/read"), &[], &[]).await
         }
-        What::Evacuate(EvacuateCall::Finish { zone }) => {
-            ask(ctl, "POST", &format!("/evacuate/{zone}/finish"), &[], &[]).await
+        CtlCommand::Evacuate(EvacuateCommand::Start { zone }) => {
+            send_request(ctl, "POST", &format!("/evacuate/{zone}/start"), &[], &[]).await
         }
-        What::Evacuate(EvacuateCall::Status) => ask(ctl, "GET", "/evacuate/read", &[], &[]).await,
-        What::Message(MessageCall::State { name, host }) => {
-            ask(ctl, "GET", &format!("/message/{name}"), &[("Host", host)], &[]).await
+        CtlCommand::Evacuate(EvacuateCommand::Finish { zone }) => {
+            send_request(ctl, "POST", &format!("/evacuate/{zone}/finish"), &[], &[]).await
         }
-        What::Message(MessageCall::Body { name, host }) => {
-            ask(ctl, "GET", &format!("/message-body/{name}"), &[("Host", host)], &[]).await
+        CtlCommand::Evacuate(EvacuateCommand::Status) => send_request(ctl, "GET", "/evacuate/read", &[], &[]).await,
+        CtlCommand::Message(MessageCommand::State { name, host }) => {
+            send_request(ctl, "GET", &format!("/message/{name}"), &[("Host", host)], &[]).await
         }
-        What::Status { .. } => ask(ctl, "GET", "/status", &[], &[]).await,
-        What::Node { inner } => {
+        CtlCommand::Message(MessageCommand::Body { name, host }) => {
+            send_request(ctl, "GET", &format!("/message-body/{name}"), &[("Host", host)], &[]).await
+        }
+        CtlCommand::Status { .. } => send_request(ctl, "GET", "/status", &[], &[]).await,
+        CtlCommand::Node { inner } => {
             let rpc_clients = rpc::RpcClients::new(Duration::from_secs(1));
             let status = rpc::Body::Status(rpc::messages::Status {});
             match rpc_clients.to(inner).call(status, Duration::from_secs_f64(ctl.within)).await {
                 Ok(rpc::Body::StatusAck(s)) => Ok(Answer { status: 200, body: s.json.into(), ..Answer::default() }),
-                _ => Err(bad(format!("{inner} does not answer"))),
+                _ => Err(not_sent(format!("{inner} does not answer"))),
             }
         }
     }
 }
 
 /// Prints nested JSON as indented `name: value` lines.
-fn plain(v: &serde_json::Value, depth: usize) {
+fn print_indented(v: &serde_json::Value, depth: usize) {
     let pad = "  ".repeat(depth);
     match v {
         serde_json::Value::Object(o) => {
             for (k, v) in o {
                 if v.is_object() || v.as_array().is_some_and(|a| a.iter().any(|x| x.is_object())) {
                     println!("{pad}{k}:");
-                    plain(v, depth + 1);
+                    print_indented(v, depth + 1);
                 } else {
                     println!("{pad}{k}: {}", v.as_str().map_or_else(|| v.to_string(), str::to_owned));
                 }
@@ -301,36 +311,35 @@
     }
 }
 
-/// Exit codes: 0 done, 1 refused, 2 wrong use, 3 not done, 4 it may have taken effect.
+/// Exit codes: 0 success, 1 refused, 2 usage error, 3 failed without effect, 4 failed but may have taken effect.
 pub fn run(ctl: Ctl) -> ExitCode {
     let Ok(runtime) = tokio::runtime::Builder::new_current_thread().enable_all().build() else {
-        eprintln!("no runtime");
+        eprintln!("cannot start the async runtime");
         return ExitCode::from(3);
     };
-    match runtime.block_on(order(&ctl)) {
+    match runtime.block_on(execute(&ctl)) {
         Ok(a) => {
             let value = serde_json::from_slice::<serde_json::Value>(&a.body);
-            let good = (200..300).contains(&a.status);
-            if !good {
+            if !(200..300).contains(&a.status) {
                 let value = value.unwrap_or_default();
                 let limit = value["limitBytes"].as_u64().map_or(String::new(), |l| format!(" (at most {l} bytes)"));
-                let why = value["fault"].as_str().unwrap_or_default();
-                // What was taken is acknowledged again: a refusal says that it was not,
-                // but for an order that is under way.
+                let reason = value["fault"].as_str().unwrap_or_default();
+                // A repeat of an accepted order is acknowledged again, so a refusal means that the order has not taken
+                // effect. A 409 is the exception: such an order can be in progress.
                 let effect = match a.status {
                     409 => "; nothing was changed by this call",
                     _ => "; it has not taken effect",
                 };
-                eprintln!("refused ({}): {why}{limit}{}", a.status, if ctl.changes() { effect } else { "" });
+                eprintln!("refused ({}): {reason}{limit}{}", a.status, if ctl.is_mutation() { effect } else { "" });
                 return ExitCode::from(1);
             }
             if value.as_ref().is_ok_and(|v| v["again"] == true) {
-                eprintln!("acknowledged again: it was taken before");
+                eprintln!("acknowledged again: it had already been accepted");
             }
             match value {
-                Ok(v) if !ctl.json => match &ctl.what {
-                    What::Status { only } => print!("{}", crate::summary::summary(&v, only.as_deref())),
-                    _ => plain(&v, 0),
+                Ok(v) if !ctl.json => match &ctl.command {
+                    CtlCommand::Status { only } => print!("{}", crate::summary::summary(&v, only.as_deref())),
+                    _ => print_indented(&v, 0),
                 },
                 Ok(v) => println!("{v}"),
                 Err(_) => {
@@ -341,12 +350,12 @@
             ExitCode::SUCCESS
         }
         Err(f) => {
-            let effect = match f.may_have_run {
+            let effect = match f.may_have_taken_effect {
                 true => "it may have taken effect: send it again unchanged",
                 false => "it has not taken effect",
             };
-            eprintln!("failed: {}; {effect}", f.why);
-            ExitCode::from(if f.may_have_run { 4 } else { 3 })
+            eprintln!("failed: {}; {effect}", f.reason);
+            ExitCode::from(if f.may_have_taken_effect { 4 } else { 3 })
         }
     }
 }
