--- a/crates/willowslip/src/summary.rs
+++ b/crates/willowslip/src/summary.rs
@@ -1,5 +1,5 @@
-//! `ctl status` for people: a summary first, single nodes and partitions only
-//! where something is the matter or they were asked for.
+//! Human-readable output of `ctl status`: a summary, with single nodes and partitions only if they have a problem or
+//! were asked for.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -17,36 +17,37 @@
     list(v, field).iter().filter_map(Value::as_str).collect::<Vec<_>>().join(" ")
 }
 
-/// Why a partition is not where it is to be; empty if it is.
-fn matter(p: &Value) -> String {
+/// How a partition differs from its assignment; empty if it does not.
+fn partition_problems(p: &Value) -> String {
     let (replicas, in_sync) = (list(p, "replicas"), list(p, "inSync"));
-    let mut why = Vec::new();
+    let mut problems = Vec::new();
     if in_sync.len() < replicas.len() {
-        why.push(format!("{} of {} in sync", in_sync.len(), replicas.len()));
+        problems.push(format!("{} of {} in sync", in_sync.len(), replicas.len()));
     }
     if replicas.first().and_then(Value::as_str) != Some(text(p, "owner")) {
-        why.push("not at its first home".into());
+        problems.push("owner is not the first replica".into());
     }
     if let Some(c) = p["candidate"].as_str() {
-        why.push(format!("moving to {c}"));
+        problems.push(format!("moving to {c}"));
     }
-    why.join(", ")
+    problems.join(", ")
 }
 
-/// The status as lines. `only` shows every node and partition that has the word in
-/// its name, zone, role or members.
+/// Formats a status. `only` also lists each node with that word in its name, zone or role, and each partition with a
+/// member whose name contains it.
 pub fn summary(v: &Value, only: Option<&str>) -> String {
     let mut s = String::new();
     let duties = names(v, "duties");
     let _ = writeln!(s, "{} {}", text(v, "node"), if v["isLeader"] == true { "leads" } else { "follows" });
     let _ = writeln!(s, "leader {}  duties {}", text(v, "leader"), if duties.is_empty() { "-" } else { &duties });
     let _ = writeln!(s, "voters {}", names(v, "voters"));
-    let troubles = [("behind by entries", "behind"), ("disks in trouble", "disks"), ("clocks off, ms ahead", "clocks")];
-    for (what, field) in troubles {
+    let problems_by_node =
+        [("behind by entries", "behind"), ("disk problems", "disks"), ("clocks off, ms ahead", "clocks")];
+    for (label, field) in problems_by_node {
         let all = v[field].as_object().into_iter().flatten();
         let all: Vec<String> = all.filter(|(_, n)| **n != 0).map(|(k, n)| format!("{k}={n}")).collect();
         if !all.is_empty() {
-            let _ = writeln!(s, "{what}: {}", all.join(" "));
+            let _ = writeln!(s, "{label}: {}", all.join(" "));
         }
     }
     let unidentified = names(v, "unidentified");
@@ -74,15 +75,15 @@
         let _ = writeln!(s, "  {zone} {role} {all}{note}");
     }
     let partitions = list(v, "partitions");
-    let bad: Vec<(&Value, String)> =
-        partitions.iter().map(|p| (p, matter(p))).filter(|(_, why)| !why.is_empty()).collect();
-    let _ = writeln!(s, "partitions: {}, {} where they are to be", partitions.len(), partitions.len() - bad.len());
-    let shown = bad.len().min(20);
-    for (p, why) in &bad[..shown] {
-        let _ = writeln!(s, "  {} term {} owner {}: {why}", p["id"], p["term"], text(p, "owner"));
+    let misplaced: Vec<(&Value, String)> =
+        partitions.iter().map(|p| (p, partition_problems(p))).filter(|(_, problems)| !problems.is_empty()).collect();
+    let _ = writeln!(s, "partitions: {}, {} as assigned", partitions.len(), partitions.len() - misplaced.len());
+    let shown = misplaced.len().min(20);
+    for (p, problems) in &misplaced[..shown] {
+        let _ = writeln!(s, "  {} term {} owner {}: {problems}", p["id"], p["term"], text(p, "owner"));
     }
-    if bad.len() > shown {
-        let _ = writeln!(s, "  and {} more: use --only or --json", bad.len() - shown);
+    if misplaced.len() > shown {
+        let _ = writeln!(s, "  and {} more: use --only or --json", misplaced.len() - shown);
     }
     if let Some(word) = only {
         for n in nodes.iter().filter(|n| ["name", "zone", "role"].iter().any(|f| text(n, f).contains(word))) {
@@ -96,8 +97,8 @@
                 text(n, "inner")
             );
         }
-        let has = |p: &Value| names(p, "replicas").contains(word) || names(p, "inSync").contains(word);
-        for p in partitions.iter().filter(|p| has(p)) {
+        let has_member = |p: &Value| names(p, "replicas").contains(word) || names(p, "inSync").contains(word);
+        for p in partitions.iter().filter(|p| has_member(p)) {
             let (in_sync, replicas) = (names(p, "inSync"), names(p, "replicas"));
             let owner = text(p, "owner");
             let _ = writeln!(
@@ -117,7 +118,7 @@
     use serde_json::json;
 
     #[test]
-    fn three_hundred_nodes_are_a_page_and_what_is_amiss_is_on_it() {
+    fn summary_of_300_nodes_fits_on_a_page_and_lists_all_problems() {
         let zones = ["a", "b", "c", "d", "e", "f"];
         let node = |n: usize, role: &str| json!({"name": format!("{role}-{n}"), "role": role, "zone": zones[n % 6], "inner": "10.0.0.1:7000", "leaving": role == "front" && n == 7});
         let nodes: Vec<Value> = (0..234).map(|n| node(n, "front")).chain((0..60).map(|n| node(n, "store"))).collect();
@@ -132,7 +133,9 @@
             "nodes": nodes, "partitions": partitions, "counters": "a=1"});
         let s = summary(&v, None);
         assert!(s.lines().count() < 30, "{s}");
-        assert!(s.contains("partitions: 120, 119 where") && s.contains("17 term 3 owner store-17: 1 of 2 in sync"));
+        assert!(
+            s.contains("partitions: 120, 119 as assigned\n") && s.contains("17 term 3 owner store-17: 1 of 2 in sync")
+        );
         assert!(s.contains("b front 39, 1 leaving") && s.contains("behind by entries: z=4"));
         assert!(s.contains("zone c is evacuated\n"));
         assert!(s.contains("clocks off, ms ahead: store-3=-2400"));
