--- a/crates/willowslip/tests/common/mod.rs
+++ b/crates/willowslip/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Programs of the system as processes on loopback, machine by machine.
-#![allow(dead_code)] // Each test uses its part.
+//! Runs the programs of a cluster as processes on loopback.
+#![allow(dead_code)] // Each test uses only some of the helpers.
 
 use std::collections::HashMap;
 use std::net::TcpListener;
@@ -9,14 +9,14 @@
 
 pub const BIN: &str = env!("CARGO_BIN_EXE_willowslip");
 
-/// Programs that run as processes, each with its settings, its data and its log in one
-/// folder; they end with it.
-pub struct Programs {
+/// Running processes with their settings, data and logs in one directory. Dropping it kills the processes and
+/// removes the directory.
+pub struct Processes {
     pub dir: PathBuf,
     pub running: HashMap<String, Child>,
 }
 
-impl Drop for Programs {
+impl Drop for Processes {
     fn drop(&mut self) {
         for c in self.running.values_mut() {
             let _ = c.kill();
@@ -26,16 +26,16 @@
     }
 }
 
-impl Programs {
-    pub fn new(name: &str) -> Programs {
+impl Processes {
+    pub fn new(name: &str) -> Processes {
         let dir = std::env::temp_dir().join(format!("willowslip-{name}-{}", std::process::id()));
-        Programs { dir, running: HashMap::new() }
+        Processes { dir, running: HashMap::new() }
     }
 
-    /// The folder for a program's data.
-    pub fn data(&self, name: &str) -> PathBuf {
+    /// Creates and returns the data directory of a process.
+    pub fn data_dir(&self, name: &str) -> PathBuf {
         let data = self.dir.join(name);
-        std::fs::create_dir_all(&data).expect("a folder");
+        std::fs::create_dir_all(&data).expect("data directory");
         data
     }
 
@@ -46,26 +46,26 @@
         let child = Command::new(BIN)
             .arg(role)
             .env("WILLOWSLIP_SETTINGS", &path)
-            .stderr(Stdio::from(log.expect("a log file")))
+            .stderr(Stdio::from(log.expect("log file")))
             .spawn()
-            .expect("it starts");
+            .expect("process starts");
         self.running.insert(name.to_owned(), child);
     }
 
-    pub fn id(&self, name: &str) -> u32 {
+    pub fn pid(&self, name: &str) -> u32 {
         self.running[name].id()
     }
 
     pub fn signal(&self, name: &str, signal: &str) {
-        let id = self.id(name).to_string();
-        assert!(Command::new("kill").args([signal, &id]).status().is_ok_and(|s| s.success()));
+        let pid = self.pid(name).to_string();
+        assert!(Command::new("kill").args([signal, &pid]).status().is_ok_and(|s| s.success()));
     }
 
-    /// Signals it to end, and sees that it does, and well if it was asked to.
-    pub fn end(&mut self, name: &str, signal: &str) {
+    /// Sends a signal and waits for the process to exit, which must be successful unless the signal is `-KILL`.
+    pub fn stop(&mut self, name: &str, signal: &str) {
         self.signal(name, signal);
-        let ended = self.running.remove(name).expect("it runs").wait().expect("it ends");
-        assert!(signal == "-KILL" || ended.success(), "{name}: {ended}");
+        let status = self.running.remove(name).expect("process is running").wait().expect("process exits");
+        assert!(signal == "-KILL" || status.success(), "{name}: {status}");
     }
 
     pub fn log(&self, name: &str) -> String {
@@ -73,26 +73,26 @@
     }
 }
 
-pub struct System {
-    pub programs: Programs,
+pub struct TestCluster {
+    pub processes: Processes,
     pub base: u16,
 }
 
-impl System {
-    pub fn new() -> System {
-        // Machines are 127.0.0.2 to .8, all with the same ports.
+impl TestCluster {
+    pub fn new() -> TestCluster {
+        // The machines 127.0.0.2 to .8 use the same port numbers.
         let from = 40_000 + (std::process::id() % 500) as u16 * 20;
         let free =
             |b: &u16| (2..9).all(|m| (*b..*b + 7).all(|p| TcpListener::bind((format!("127.0.0.{m}"), p)).is_ok()));
         let base = (from..65_000).step_by(20).find(free).expect("free ports");
-        System { programs: Programs::new("whole"), base }
+        TestCluster { processes: Processes::new("whole"), base }
     }
 
-    /// Starts a program on a machine; `first` is the system's very first start.
-    pub fn start(&mut self, role: &str, machine: u8, first: bool) {
+    /// Starts a process on a machine; `is_initial` marks the first start of the whole cluster.
+    pub fn start(&mut self, role: &str, machine: u8, is_initial: bool) {
         let (b, ip) = (self.base, format!("127.0.0.{machine}"));
         let name = format!("{role}-{machine}");
-        let data = self.programs.data(&name);
+        let data = self.processes.data_dir(&name);
         let node = if role == "agent" { format!("front-{machine}") } else { name.clone() };
         let listen = match role {
             "control" => format!("control = \"{ip}:{}\"", b + 4),
@@ -101,7 +101,7 @@
         };
         let seeds: Vec<String> = (2..5).map(|m| format!("\"127.0.0.{m}:{}\"", b + 4)).collect();
         let settings = format!(
-            "node = \"{node}\"\nip = \"{ip}\"\nzone = \"z{}\"\nportRange = [{b}, {}]\nseeds = [{}]\ninitialStart = {first}\n\
+            "node = \"{node}\"\nip = \"{ip}\"\nzone = \"z{}\"\nportRange = [{b}, {}]\nseeds = [{}]\ninitialStart = {is_initial}\n\
              dataDir = \"{}\"\n[listen]\n{listen}\n[limits]\nmemoryMb = 200\ndiskMb = 200\n[tolerance]\nmachines = 1\n\
              [constraints]\nquietMs = 4000\nackMs = 5000\ngraceS = 6\nsettleS = 4\ndrainMs = 3000\nconvergeMs = 3000\n\
              rollbackMs = 5000\nstatusS = 60\nnotifyS = 5\npeakWindowS = 5\nexposure = 0.1\n",
@@ -110,15 +110,15 @@
             seeds.join(","),
             data.display()
         );
-        self.programs.start(role, &name, settings);
+        self.processes.start(role, &name, settings);
     }
 
-    pub fn end(&mut self, name: &str, signal: &str) {
-        self.programs.end(name, signal);
+    pub fn stop(&mut self, name: &str, signal: &str) {
+        self.processes.stop(name, signal);
     }
 
     pub fn signal(&self, name: &str, signal: &str) {
-        self.programs.signal(name, signal);
+        self.processes.signal(name, signal);
     }
 
     pub fn is_leader(&self, machine: u8) -> bool {
@@ -127,26 +127,26 @@
         o.is_ok_and(|o| String::from_utf8_lossy(&o.stdout).contains("\"isLeader\":true"))
     }
 
-    pub fn any_control(&self, line: &str) -> bool {
+    pub fn any_control_log_contains(&self, line: &str) -> bool {
         (2..5).any(|m| self.log(&format!("control-{m}")).contains(line))
     }
 
     pub fn log(&self, name: &str) -> String {
-        self.programs.log(name)
+        self.processes.log(name)
     }
 
-    pub fn front(&self) -> String {
+    pub fn front_address(&self) -> String {
         format!("127.0.0.8:{}", self.base + 5)
     }
 
     pub fn ctl(&self, args: &[&str]) -> Option<serde_json::Value> {
         let at = format!("127.0.0.2:{},127.0.0.3:{}", self.base + 4, self.base + 4);
-        let o = Command::new(BIN).args(["ctl", "--json", "--at", &at]).args(args).output().expect("it runs");
+        let o = Command::new(BIN).args(["ctl", "--json", "--at", &at]).args(args).output().expect("ctl runs");
         o.status.success().then(|| serde_json::from_slice(&o.stdout).ok()).flatten()
     }
 
-    /// All partitions are held by the store nodes that are to hold them.
-    pub fn whole(&self) -> bool {
+    /// Whether each partition has its two replicas in sync and its first replica as owner.
+    pub fn is_fully_replicated(&self) -> bool {
         let Some(s) = self.ctl(&["status"]) else { return false };
         s["partitions"].as_array().is_some_and(|ps| {
             !ps.is_empty()
@@ -159,10 +159,10 @@
     }
 }
 
-pub fn until(what: &str, mut f: impl FnMut() -> bool) {
-    let end = Instant::now() + Duration::from_secs(60);
-    while !f() {
-        assert!(Instant::now() < end, "not in time: {what}");
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(60);
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
--- a/crates/willowslip/tests/unidentified.rs
+++ b/crates/willowslip/tests/unidentified.rs
@@ -1,5 +1,5 @@
-//! An endpoint whose answers do not repeat `X-Attempt-Id`: its runs cannot end, and the
-//! operator is told so by a log line, a counter and `ctl status` of every control node.
+//! An endpoint whose responses do not repeat `X-Attempt-Id`: its runs cannot end. The operator sees this in a log
+//! line, a counter and the `ctl status` of every control node.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -10,19 +10,19 @@
 mod common;
 use common::*;
 
-const LINE: &str = "answers do not repeat X-Attempt-Id, none of";
+const LOG_TEXT: &str = "answers do not repeat X-Attempt-Id, none of";
 
-/// An endpoint that can leave the request's id out of its answers.
+/// An endpoint that omits the request's id from its responses unless `repeats_ids` is set.
 #[derive(Default)]
 struct Endpoint {
-    names_requests: AtomicBool,
+    repeats_ids: AtomicBool,
     runs: AtomicUsize,
 }
 
 impl Endpoint {
     fn start() -> (Arc<Endpoint>, String) {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address").to_string();
+        let listener = TcpListener::bind("127.0.0.1:0").expect("free port");
+        let address = listener.local_addr().expect("local address").to_string();
         let endpoint = Arc::new(Endpoint::default());
         let shared = endpoint.clone();
         std::thread::spawn(move || {
@@ -34,7 +34,7 @@
         (endpoint, address)
     }
 
-    /// Reads a request and answers it; None at the end of the connection.
+    /// Reads and answers one request; `None` at the end of the connection.
     fn answer_one(&self, mut connection: &TcpStream) -> Option<()> {
         let mut reader = BufReader::new(connection);
         let (mut length, mut id) = (0, String::new());
@@ -57,11 +57,11 @@
         }
         reader.read_exact(&mut vec![0; length]).ok()?;
         self.runs.fetch_add(1, Ordering::Relaxed);
-        let named = match self.names_requests.load(Ordering::Relaxed) {
+        let id_header = match self.repeats_ids.load(Ordering::Relaxed) {
             true => format!("X-Attempt-Id: {id}\r\n"),
             false => String::new(),
         };
-        let answer = format!("HTTP/1.1 200 OK\r\n{named}X-Seal: s-{id}\r\nContent-Length: 0\r\n\r\n");
+        let answer = format!("HTTP/1.1 200 OK\r\n{id_header}X-Seal: s-{id}\r\nContent-Length: 0\r\n\r\n");
         connection.write_all(answer.as_bytes()).ok()
     }
 
@@ -79,53 +79,54 @@
     Some(answer)
 }
 
-/// What `ctl status` of one control node prints.
-fn status(system: &System, machine: u8) -> String {
-    let at = format!("127.0.0.{machine}:{}", system.base + 4);
-    let output = Command::new(BIN).args(["ctl", "--within", "1", "--at", &at, "status"]).output().expect("it runs");
+/// The output of `ctl status` for one control node.
+fn status(cluster: &TestCluster, machine: u8) -> String {
+    let at = format!("127.0.0.{machine}:{}", cluster.base + 4);
+    let output = Command::new(BIN).args(["ctl", "--within", "1", "--at", &at, "status"]).output().expect("ctl runs");
     String::from_utf8_lossy(&output.stdout).into_owned()
 }
 
 #[test]
-fn an_endpoint_that_does_not_name_its_requests_is_told_to_the_operator() {
+fn endpoint_that_does_not_repeat_request_ids_is_reported() {
     let (endpoint, address) = Endpoint::start();
-    let mut system = System::new();
+    let mut cluster = TestCluster::new();
     for machine in 2..5 {
-        system.start("control", machine, true);
+        cluster.start("control", machine, true);
     }
     for machine in 5..8 {
-        system.start("store", machine, true);
+        cluster.start("store", machine, true);
     }
-    system.start("front", 8, true);
-    system.start("agent", 8, true);
+    cluster.start("front", 8, true);
+    cluster.start("agent", 8, true);
     let config = format!(
         r#"{{"revision": 1, "channels": [{{"name": "r", "host": "h", "prefix": "/m/", "mode": "deferred", "cutoffMs": 300,
         "setpointMs": 1000, "plant": "e", "tries": 100, "retainS": 600, "startSetpointMs": 1000}}],
         "plants": [{{"name": "e", "connLimit": 10, "endpoint": "{address}"}}], "limits": {{}}}}"#
     );
-    let file = system.programs.dir.join("config.json");
+    let file = cluster.processes.dir.join("config.json");
     std::fs::write(&file, config).expect("written");
-    until("configuration", || system.ctl(&["config", "replace", &file.display().to_string()]).is_some());
+    wait_until("configuration accepted", || cluster.ctl(&["config", "replace", &file.display().to_string()]).is_some());
 
-    let send = |id: &str| request(&system.front(), &format!("POST /m/x HTTP/1.1\r\nX-Attempt-Id: {id}"));
-    until("a message is taken", || send("first").is_some_and(|answer| answer.starts_with("HTTP/1.1 202")));
-    let listed = |machine: u8| status(&system, machine).lines().any(|l| l.contains(LINE) && l.contains(&address));
-    until("each control node lists the endpoint", || (2..5).all(listed));
+    let send = |id: &str| request(&cluster.front_address(), &format!("POST /m/x HTTP/1.1\r\nX-Attempt-Id: {id}"));
+    wait_until("message accepted", || send("first").is_some_and(|answer| answer.starts_with("HTTP/1.1 202")));
+    let listed = |machine: u8| status(&cluster, machine).lines().any(|l| l.contains(LOG_TEXT) && l.contains(&address));
+    wait_until("each control node lists the endpoint", || (2..5).all(listed));
 
-    // Said once, however often the endpoint does it again.
+    // The log line is written once per endpoint, not once per response.
     let before = endpoint.runs();
-    until("more runs", || endpoint.runs() >= before + 3);
-    let log = system.log("front-8");
-    let lines: Vec<&str> = log.lines().filter(|line| line.contains(LINE)).collect();
+    wait_until("more runs", || endpoint.runs() >= before + 3);
+    let log = cluster.log("front-8");
+    let lines: Vec<&str> = log.lines().filter(|line| line.contains(LOG_TEXT)).collect();
     assert!(lines.len() == 1 && lines[0].contains(&format!("processor={address} host=h")), "{log}");
 
-    endpoint.names_requests.store(true, Ordering::Relaxed);
-    until("the next message is settled", || {
+    endpoint.repeats_ids.store(true, Ordering::Relaxed);
+    wait_until("the next message is settled", || {
         let answer = send("second").unwrap_or_default();
         let name = answer.lines().find_map(|line| line.strip_prefix("X-Message-Name: ")).unwrap_or_default();
-        request(&system.front(), &format!("GET /message/{name} HTTP/1.1")).is_some_and(|a| a.contains("\"settled\""))
+        request(&cluster.front_address(), &format!("GET /message/{name} HTTP/1.1"))
+            .is_some_and(|a| a.contains("\"settled\""))
     });
-    until("no control node lists it any more", || !(2..5).any(listed));
-    system.end("front-8", "-TERM");
-    assert!(system.log("front-8").contains("processors_without_id=1"));
+    wait_until("no control node lists the endpoint", || !(2..5).any(listed));
+    cluster.stop("front-8", "-TERM");
+    assert!(cluster.log("front-8").contains("processors_without_id=1"));
 }
--- a/crates/willowslip/tests/whole.rs
+++ b/crates/willowslip/tests/whole.rs
@@ -1,5 +1,5 @@
-//! The whole system on loopback: three control nodes, three store nodes, a front machine and
-//! a stand-in endpoint; store machines are stopped, killed, frozen and retired.
+//! A complete cluster on loopback: three control nodes, three store nodes, a front machine and a fake endpoint. Store
+//! machines are stopped, killed, frozen and retired.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -19,13 +19,13 @@
     Some((status, all))
 }
 
-/// An endpoint that notes what it ran, in order, and the call-backs it got.
-fn endpoint(ran: Arc<Mutex<Vec<String>>>, told: Arc<Mutex<Vec<String>>>) -> String {
-    let l = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let addr = l.local_addr().expect("an address").to_string();
+/// Starts an endpoint that records the ids of the messages it ran, in order, and the callbacks it received.
+fn start_endpoint(ran: Arc<Mutex<Vec<String>>>, callbacks: Arc<Mutex<Vec<String>>>) -> String {
+    let l = TcpListener::bind("127.0.0.1:0").expect("free port");
+    let addr = l.local_addr().expect("local address").to_string();
     std::thread::spawn(move || {
         for s in l.incoming().flatten() {
-            let (ran, told) = (ran.clone(), told.clone());
+            let (ran, callbacks) = (ran.clone(), callbacks.clone());
             std::thread::spawn(move || {
                 let mut r = BufReader::new(s);
                 loop {
@@ -46,7 +46,7 @@
                         return;
                     }
                     if head.starts_with("POST /done") {
-                        told.lock().expect("no panic").push(String::from_utf8_lossy(&body).into_owned());
+                        callbacks.lock().expect("no panic").push(String::from_utf8_lossy(&body).into_owned());
                     } else {
                         ran.lock().expect("no panic").push(id.clone());
                     }
@@ -64,34 +64,34 @@
 }
 
 #[test]
-fn messages_survive_stops_losses_freezes_and_a_retired_machine() {
-    let (ran, told) = (Arc::new(Mutex::new(vec![])), Arc::new(Mutex::new(vec![])));
-    let server = endpoint(ran.clone(), told.clone());
-    let mut s = System::new();
+fn messages_survive_stops_kills_freezes_and_a_retirement() {
+    let (ran, callbacks) = (Arc::new(Mutex::new(vec![])), Arc::new(Mutex::new(vec![])));
+    let server = start_endpoint(ran.clone(), callbacks.clone());
+    let mut cluster = TestCluster::new();
     for m in 2..5 {
-        s.start("control", m, true);
+        cluster.start("control", m, true);
     }
     for m in 5..8 {
-        s.start("store", m, true);
+        cluster.start("store", m, true);
     }
-    s.start("front", 8, true);
-    s.start("agent", 8, true);
+    cluster.start("front", 8, true);
+    cluster.start("agent", 8, true);
     let config = format!(
         r#"{{"revision": 1, "channels": [{{"name": "r", "host": "h", "prefix": "/m/", "mode": "deferred", "cutoffMs": 1000,
         "setpointMs": 1000, "plant": "e", "tries": 3, "sequenced": true, "retainS": 60, "notify": true, "startSetpointMs": 1000}}],
         "plants": [{{"name": "e", "connLimit": 10, "endpoint": "{server}"}}], "limits": {{}}}}"#
     );
-    let file = s.programs.dir.join("config.json");
+    let file = cluster.processes.dir.join("config.json");
     std::fs::write(&file, config).expect("written");
-    until("configuration", || s.ctl(&["config", "replace", &file.display().to_string()]).is_some());
-    until("ready", || {
-        call(&format!("127.0.0.8:{}", s.base + 6), "GET /ready HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n")
+    wait_until("configuration accepted", || cluster.ctl(&["config", "replace", &file.display().to_string()]).is_some());
+    wait_until("front ready", || {
+        call(&format!("127.0.0.8:{}", cluster.base + 6), "GET /ready HTTP/1.1\r\nHost: r\r\nConnection: close\r\n\r\n")
             .is_some_and(|r| r.0 == 200)
     });
-    until("whole", || s.whole());
+    wait_until("full replication", || cluster.is_fully_replicated());
 
     let mut names: Vec<(String, String)> = vec![];
-    let front = s.front();
+    let front = cluster.front_address();
     let mut send = |n: usize| {
         let id = format!("m{n:04}");
         let request = format!(
@@ -109,72 +109,74 @@
     for n in 0..100 {
         assert_eq!(send(n), 202, "message {n}");
     }
-    // Stopped in order: everything passes by splice, and nobody notices.
-    s.end("store-5", "-TERM");
+    // A graceful stop hands all partitions over by splice, without a refused message.
+    cluster.stop("store-5", "-TERM");
     for n in 100..200 {
         assert_eq!(send(n), 202, "message {n}");
     }
-    let log = s.log("store-5");
+    let log = cluster.log("store-5");
     assert!(log.contains("stopped at") && log.contains("left after"), "{log}");
-    assert!(["store-6", "store-7"].iter().any(|l| s.log(l).contains("spliced at")));
-    s.start("store", 5, false);
-    until("whole again", || s.whole());
-    // Killed: seized by those in sync.
-    s.end("store-6", "-KILL");
-    let taken = (200..300).filter(|n| send(*n) == 202).count();
-    assert!(taken > 50, "{taken} of 100 taken around the loss");
-    until("seized", || ["store-5", "store-7"].iter().any(|l| s.log(l).contains("seized")));
-    s.start("store", 6, false);
-    until("whole after the loss", || s.whole());
+    assert!(["store-6", "store-7"].iter().any(|l| cluster.log(l).contains("spliced at")));
+    cluster.start("store", 5, false);
+    wait_until("full replication after the stop", || cluster.is_fully_replicated());
+    // After a kill, in-sync replicas seize the partitions.
+    cluster.stop("store-6", "-KILL");
+    let accepted = (200..300).filter(|n| send(*n) == 202).count();
+    assert!(accepted > 50, "{accepted} of 100 accepted around the kill");
+    wait_until("seized", || ["store-5", "store-7"].iter().any(|l| cluster.log(l).contains("seized")));
+    cluster.start("store", 6, false);
+    wait_until("full replication after the kill", || cluster.is_fully_replicated());
 
-    // Frozen until another one owns what it had; when it wakes, nothing of its own counts.
-    s.signal("store-7", "-STOP");
-    let taken = (300..400).filter(|n| send(*n) == 202).count();
-    assert!(taken > 50, "{taken} of 100 taken around the freeze");
-    until("seized", || s.any_control("seized from store-7"));
-    s.signal("store-7", "-CONT");
-    until("whole after the freeze", || s.whole());
-    // The leader is lost, and then a machine is emptied.
-    let leader = (2..5).find(|m| s.is_leader(*m)).expect("a leader");
-    s.end(&format!("control-{leader}"), "-KILL");
-    until("another leader", || (2..5).any(|m| m != leader && s.is_leader(m)));
+    // A store is frozen until its partitions are seized; when it resumes, its former ownership has no effect.
+    cluster.signal("store-7", "-STOP");
+    let accepted = (300..400).filter(|n| send(*n) == 202).count();
+    assert!(accepted > 50, "{accepted} of 100 accepted around the freeze");
+    wait_until("seized", || cluster.any_control_log_contains("seized from store-7"));
+    cluster.signal("store-7", "-CONT");
+    wait_until("full replication after the freeze", || cluster.is_fully_replicated());
+    // The leader is killed, and then a store is retired.
+    let leader = (2..5).find(|m| cluster.is_leader(*m)).expect("a leader");
+    cluster.stop(&format!("control-{leader}"), "-KILL");
+    wait_until("another leader", || (2..5).any(|m| m != leader && cluster.is_leader(m)));
     assert_eq!(send(400), 202);
-    s.start("control", leader, false);
-    assert!(s.ctl(&["retire", "start", "nowhere"]).is_none());
-    until("retire", || s.ctl(&["retire", "start", "store-5"]).is_some());
-    until("retired", || s.ctl(&["retire", "read", "store-5"]).is_some_and(|r| r["state"] == "settled"));
-    s.end("store-5", "-KILL");
-    assert!(s.ctl(&["retire", "start", "store-6"]).is_none(), "too few would be left");
+    cluster.start("control", leader, false);
+    assert!(cluster.ctl(&["retire", "start", "nowhere"]).is_none());
+    wait_until("retirement accepted", || cluster.ctl(&["retire", "start", "store-5"]).is_some());
+    wait_until("store retired", || {
+        cluster.ctl(&["retire", "read", "store-5"]).is_some_and(|r| r["state"] == "settled")
+    });
+    cluster.stop("store-5", "-KILL");
+    assert!(cluster.ctl(&["retire", "start", "store-6"]).is_none(), "too few stores would remain");
     for n in 401..500 {
         assert_eq!(send(n), 202, "message {n}");
     }
 
-    // A core machine is replaced by an empty one at another address.
-    s.end("control-4", "-KILL");
-    s.start("control", 8, false);
-    let (new, old) = (format!("127.0.0.8:{}", s.base), format!("127.0.0.4:{}", s.base));
-    until("the newcomer votes", || {
-        let Some(status) = s.ctl(&["status"]) else { return false };
+    // A control machine is replaced by an empty one at another address.
+    cluster.stop("control-4", "-KILL");
+    cluster.start("control", 8, false);
+    let (new, old) = (format!("127.0.0.8:{}", cluster.base), format!("127.0.0.4:{}", cluster.base));
+    wait_until("the new control node votes", || {
+        let Some(status) = cluster.ctl(&["status"]) else { return false };
         let votes = |a: &String| status["voters"].as_array().is_some_and(|v| v.iter().any(|x| x == a.as_str()));
         votes(&new) && !votes(&old)
     });
-    // Everything that keeps something ends at once, and comes back with its disks.
-    let kept = ["control-2", "control-3", "control-8", "store-6", "store-7"];
-    for k in kept {
-        s.end(k, "-KILL");
+    // All running control and store nodes are killed, and restarted with their data.
+    let with_data = ["control-2", "control-3", "control-8", "store-6", "store-7"];
+    for k in with_data {
+        cluster.stop(k, "-KILL");
     }
-    for k in kept {
+    for k in with_data {
         let (role, machine) = k.split_once('-').expect("role and machine");
-        s.start(role, machine.parse().expect("a number"), false);
+        cluster.start(role, machine.parse().expect("a number"), false);
     }
-    until("back", || s.ctl(&["config", "read"]).is_some_and(|c| c["revision"] == 1));
-    let mut again = 500;
-    until("taken again", || {
-        again += 1;
-        send(again) == 202
+    wait_until("configuration readable", || cluster.ctl(&["config", "read"]).is_some_and(|c| c["revision"] == 1));
+    let mut next = 500;
+    wait_until("messages accepted", || {
+        next += 1;
+        send(next) == 202
     });
 
-    until("all are settled", || {
+    wait_until("all messages settled", || {
         names.iter().all(|(_, name)| {
             let r = format!("GET /message/{name} HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
             call(&front, &r).is_some_and(|(_, t)| t.contains("\"settled\""))
@@ -183,22 +185,22 @@
     let ran = ran.lock().expect("no panic").clone();
     for k in 0..7 {
         let of_key = |id: &str| id[1..].parse::<usize>().is_ok_and(|n| n % 7 == k);
-        let mut firsts: Vec<&String> = vec![];
+        let mut first_runs: Vec<&String> = vec![];
         for id in ran.iter().filter(|id| of_key(id)) {
-            if !firsts.contains(&id) {
-                firsts.push(id);
+            if !first_runs.contains(&id) {
+                first_runs.push(id);
             }
         }
-        assert!(firsts.is_sorted(), "out of order for key {k}: {firsts:?}");
+        assert!(first_runs.is_sorted(), "out of order for key {k}: {first_runs:?}");
     }
     for (id, _) in &names {
-        assert!(ran.contains(id), "{id} was taken and never ran");
+        assert!(ran.contains(id), "{id} was accepted but never ran");
     }
-    until("all call-backs", || {
-        let told = told.lock().expect("no panic");
-        names.iter().all(|(id, _)| told.iter().any(|t| t.contains(id) && t.contains("settled")))
+    wait_until("all callbacks", || {
+        let callbacks = callbacks.lock().expect("no panic");
+        names.iter().all(|(id, _)| callbacks.iter().any(|t| t.contains(id) && t.contains("settled")))
     });
     for l in ["store-5", "store-6", "store-7"] {
-        assert!(!s.log(l).contains("ALARM"), "{l}");
+        assert!(!cluster.log(l).contains("ALARM"), "{l}");
     }
 }
