--- a/crates/willowslip/tests/operations.rs
+++ b/crates/willowslip/tests/operations.rs
@@ -1,4 +1,4 @@
-//! Operation keys on loopback: tries at one operation run once, whatever changes between them.
+//! Operation keys: repeated requests for one operation run once, even if routes change in between.
 
 use serde_json::{Value, json};
 use soak::clients::{HOST, Message, is_settled, send};
@@ -8,8 +8,8 @@
 use std::time::{Duration, Instant};
 
 const OPERATIONS: usize = 12;
-const PATIENCE: Duration = Duration::from_secs(20);
-/// `convergeMs` of the cluster: by then every front goes by an acknowledged configuration.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// `convergeMs` of the cluster: the time within which every front applies an acknowledged configuration.
 const CONVERGENCE: Duration = Duration::from_secs(3);
 
 fn route(name: &str, prefix: &str) -> Value {
@@ -22,19 +22,19 @@
     json!({"revision": revision, "channels": routes, "plants": [service("first"), service("second")], "limits": {}})
 }
 
-/// Puts a configuration in force at every front.
-fn change(cluster: &Cluster, revision: u64, routes: Value, processor: &Processor) {
+/// Replaces the configuration and waits until every front has applied it.
+fn reconfigure(cluster: &Cluster, revision: u64, routes: Value, processor: &Processor) {
     cluster.configure(&configuration(revision, routes, processor)).expect("acknowledged");
     std::thread::sleep(CONVERGENCE);
 }
 
-/// Sends a try at each operation until it is accepted; the names that were told.
-fn try_all(front: &str, label: &str, path: &str, order_key: &str) -> Vec<String> {
+/// Sends a request for each operation until it is accepted and settled; returns the message names.
+fn send_all(front: &str, label: &str, path: &str, order_key: &str) -> Vec<String> {
     let accepted = |number: usize| {
-        let end = Instant::now() + PATIENCE;
-        for again in 0.. {
+        let deadline = Instant::now() + TIMEOUT;
+        for retry in 0.. {
             let message = Message {
-                id: format!("op{number}_{label}_{again}"),
+                id: format!("op{number}_{label}_{retry}"),
                 path: path.into(),
                 order_key: order_key.into(),
                 operation_key: format!("op{number}"),
@@ -43,47 +43,47 @@
             let sent = send(front, message);
             if sent.status == 202 {
                 while !is_settled(front, &sent) {
-                    assert!(Instant::now() < end, "{label}: {} is left lying", sent.name);
+                    assert!(Instant::now() < deadline, "{label}: {} did not settle", sent.name);
                     std::thread::sleep(Duration::from_millis(50));
                 }
                 return sent.name;
             }
-            assert!(Instant::now() < end, "{label}: not accepted in time, {}", sent.status);
+            assert!(Instant::now() < deadline, "{label}: not accepted in time, {}", sent.status);
             std::thread::sleep(Duration::from_millis(100));
         }
-        unreachable!("it returns or fails")
+        unreachable!("the loop returns or panics")
     };
     (0..OPERATIONS).map(accepted).collect()
 }
 
-/// Guards against TWICE: a try that another route takes, or the same one after it has changed,
-/// came to another partition, which did not know its operation.
+/// Regression test: a repeated request ran twice if another route matched it, or the same route after a change. It was
+/// assigned to another partition, which did not know the operation.
 #[test]
-fn tries_run_once_whatever_routes_they_come_by() {
-    let processor = Processor::start().expect("a port");
+fn repeated_requests_run_once_across_route_changes() {
+    let processor = Processor::start().expect("free port");
     let options = ClusterOptions {
         network: "127.0.10".into(),
         constraints: "keyWindowS = 60".into(),
         ..ClusterOptions::default()
     };
-    let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_willowslip")), options).expect("ports");
+    let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_willowslip")), options).expect("free ports");
     let plain = route("hand", "/hand/");
-    cluster.start(&configuration(1, json!([plain]), &processor)).expect("it starts");
+    cluster.start(&configuration(1, json!([plain]), &processor)).expect("cluster starts");
     let front = cluster.fronts()[0].clone();
-    let names = try_all(&front, "first", "/hand/urgent/x", "");
+    let names = send_all(&front, "first", "/hand/urgent/x", "");
 
     let inner = route("urgent", "/hand/urgent/");
-    change(&cluster, 2, json!([plain, inner]), &processor);
-    assert_eq!(try_all(&front, "route_added", "/hand/urgent/x", ""), names);
-    assert_eq!(try_all(&front, "other_path", "/hand/x", ""), names);
+    reconfigure(&cluster, 2, json!([plain, inner]), &processor);
+    assert_eq!(send_all(&front, "route_added", "/hand/urgent/x", ""), names);
+    assert_eq!(send_all(&front, "other_path", "/hand/x", ""), names);
 
     let mut ordered = inner.clone();
     (ordered["sequenced"], ordered["plant"]) = (json!(true), json!("second"));
-    change(&cluster, 3, json!([plain, ordered]), &processor);
-    assert_eq!(try_all(&front, "ordered", "/hand/urgent/x", "order"), names);
+    reconfigure(&cluster, 3, json!([plain, ordered]), &processor);
+    assert_eq!(send_all(&front, "ordered", "/hand/urgent/x", "order"), names);
 
-    change(&cluster, 4, json!([route("renamed", "/hand/urgent/")]), &processor);
-    assert_eq!(try_all(&front, "renamed", "/hand/urgent/x", ""), names);
+    reconfigure(&cluster, 4, json!([route("renamed", "/hand/urgent/")]), &processor);
+    assert_eq!(send_all(&front, "renamed", "/hand/urgent/x", ""), names);
 
     let mut runs: BTreeMap<String, usize> = BTreeMap::new();
     for run in processor.runs() {
