--- a/crates/willowslip/tests/readme.rs
+++ b/crates/willowslip/tests/readme.rs
@@ -1,8 +1,8 @@
-//! The first run of a new user: the commands of README.md, read out of it and run as they
-//! stand there, until the message is settled and its call-back has arrived.
+//! Extracts the commands of README.md and runs them unchanged until the message is settled and its callback has
+//! arrived.
 //!
-//! Only the ports are others than in README.md and `examples/`, so that the run does not
-//! collide with tests and systems that run on the same machine at the same time.
+//! Only the ports of README.md and `examples/` are replaced, so that the run does not collide with other tests and
+//! clusters on the same machine.
 
 use std::fs::{self, File};
 use std::net::{Ipv4Addr, TcpListener};
@@ -14,13 +14,13 @@
 mod common;
 use common::BIN;
 
-/// How long any one step may take on a busy machine.
-const LIMIT: Duration = Duration::from_secs(180);
+/// Time-out of a single step, sufficient on a busy machine.
+const STEP_TIMEOUT: Duration = Duration::from_secs(180);
 
-/// The heading of the section whose commands are run.
+/// Heading of the section whose commands are run.
 const SECTION: &str = "## Try it on one machine";
 
-/// The ports that README.md and `examples/` name, in the order in which a slot replaces them.
+/// Ports in README.md and `examples/`, which a slot replaces.
 const CONTROL: u16 = 8064;
 const FRONT: u16 = 8069;
 const READY: u16 = 8063;
@@ -28,33 +28,32 @@
 const FIRST_INNER: u16 = 7780;
 const LAST_INNER: u16 = 7795;
 
-/// Machines of the example are 127.0.0.1 (the endpoint) to 127.0.0.8.
+/// The machines of the example are 127.0.0.1 (the endpoint) to 127.0.0.8.
 const MACHINES: std::ops::RangeInclusive<u8> = 1..=8;
 
-/// Where slots of ports begin and end: below the ports of other tests and below those that
-/// the kernel gives to outgoing connections.
+/// Range of the port slots: below the ports of other tests and below the kernel's ephemeral ports.
 const SLOTS: std::ops::Range<u16> = 10_000..20_000;
 const PORTS_IN_A_SLOT: u16 = 25;
 
-fn until(what: &str, mut is_so: impl FnMut() -> bool) {
-    let end = Instant::now() + LIMIT;
-    while !is_so() {
-        assert!(Instant::now() < end, "not in time: {what}");
+fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+    let deadline = Instant::now() + STEP_TIMEOUT;
+    while !condition() {
+        assert!(Instant::now() < deadline, "timed out waiting for: {what}");
         std::thread::sleep(Duration::from_millis(50));
     }
 }
 
-/// Where the example's disks are: in memory where there is such a folder, so that a stalled
-/// disk of the machine that runs the test does not take part in the verdict.
-fn scratch_folder() -> PathBuf {
+/// Directory for the example's data: in memory if possible, so that a stalled disk of the test machine does not affect
+/// the result.
+fn scratch_dir() -> PathBuf {
     let memory = Path::new("/dev/shm");
     if memory.is_dir() { memory.to_owned() } else { std::env::temp_dir() }
 }
 
-/// Ports that belong to one run of this test at a time.
+/// A range of ports that is used by one run of this test at a time.
 struct PortSlot {
     replacements: Vec<(u16, u16)>,
-    /// Held for as long as the slot is used: another run of this test passes it over.
+    /// Listener on the slot's first port, which makes other runs of this test skip the slot.
     _claim: TcpListener,
 }
 
@@ -86,7 +85,7 @@
         Some(PortSlot { replacements, _claim: claim })
     }
 
-    /// The text with the slot's ports in the place of the usual ones.
+    /// Replaces the default ports in a text by those of the slot.
     fn replace_ports(&self, text: &str) -> String {
         let mut replaced = String::with_capacity(text.len());
         let mut rest = text;
@@ -94,15 +93,15 @@
             let digits = rest[start..].chars().take_while(char::is_ascii_digit).count();
             let (before, number) = (&rest[..start], &rest[start..start + digits]);
             replaced.push_str(before);
-            let other = self.replacements.iter().find(|(usual, _)| usual.to_string() == number);
-            replaced.push_str(&other.map_or(number.to_owned(), |(_, port)| port.to_string()));
+            let replacement = self.replacements.iter().find(|(default, _)| default.to_string() == number);
+            replaced.push_str(&replacement.map_or(number.to_owned(), |(_, port)| port.to_string()));
             rest = &rest[start + digits..];
         }
         replaced + rest
     }
 }
 
-/// The code blocks of a section of a Markdown page: indented by four spaces.
+/// Returns the code blocks, indented by four spaces, of a section of a Markdown page.
 fn code_blocks(page: &str, heading: &str) -> Vec<String> {
     let section = page.split_once(heading).unwrap_or_else(|| panic!("README.md has no section {heading:?}")).1;
     let section = section.split("\n## ").next().unwrap_or_default();
@@ -121,7 +120,7 @@
     blocks
 }
 
-/// A copy of what a new user has after `cargo build --release`, on the ports of a slot.
+/// A copy of a checkout after `cargo build --release`, with the ports of a slot.
 struct Checkout {
     dir: PathBuf,
     blocks: Vec<String>,
@@ -132,9 +131,9 @@
     fn new() -> Checkout {
         let repository = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
         let ports = PortSlot::claim();
-        let dir = scratch_folder().join(format!("willowslip-readme-{}", std::process::id()));
+        let dir = scratch_dir().join(format!("willowslip-readme-{}", std::process::id()));
         for folder in ["examples", "target/release", "tmp"] {
-            fs::create_dir_all(dir.join(folder)).expect("a folder");
+            fs::create_dir_all(dir.join(folder)).expect("directory");
         }
         std::os::unix::fs::symlink(BIN, dir.join("target/release/willowslip")).expect("a link to the program");
         for entry in fs::read_dir(repository.join("examples")).expect("the examples") {
@@ -164,15 +163,15 @@
         Shell { child, output }
     }
 
-    /// Runs commands to their end; what they wrote, and whether all succeeded.
+    /// Runs commands to completion; returns the exit status and the output.
     fn run(&self, name: &str, commands: &str) -> (ExitStatus, String) {
         let mut shell = self.shell(name, commands);
-        until(&format!("the end of: {commands}"), || shell.ended().is_some());
-        let status = shell.ended().expect("it has ended");
+        wait_until(&format!("completion of: {commands}"), || shell.exit_status().is_some());
+        let status = shell.exit_status().expect("commands have exited");
         (status, shell.text())
     }
 
-    /// What all programs wrote, to be read where the test fails.
+    /// Prints the output and logs of all programs, for a failed test.
     fn print_outputs(&self) {
         let logs = fs::read_dir(self.dir.join("tmp")).into_iter().flatten().flatten().map(|entry| entry.path());
         for dir in logs.chain([self.dir.clone()]) {
@@ -201,7 +200,7 @@
     fs::set_permissions(&copy, fs::metadata(file).expect("its mode").permissions()).expect("the same mode");
 }
 
-/// Commands in a shell, in a process group of their own that ends with it.
+/// Commands in a shell, in their own process group, which is killed on drop.
 struct Shell {
     child: Child,
     output: PathBuf,
@@ -212,11 +211,11 @@
         fs::read_to_string(&self.output).unwrap_or_default()
     }
 
-    fn ended(&mut self) -> Option<ExitStatus> {
+    fn exit_status(&mut self) -> Option<ExitStatus> {
         self.child.try_wait().expect("its state")
     }
 
-    /// Sends a signal to the whole group, as a terminal does; false where nobody is left.
+    /// Sends a signal to the whole process group, as a terminal does; false if the group has no process left.
     fn signal(&self, signal: &str) -> bool {
         let group = format!("-{}", self.child.id());
         let sent = Command::new("kill").args([signal, "--", &group]).stderr(Stdio::null()).status();
@@ -231,7 +230,7 @@
     }
 }
 
-/// The value of a header in the answer that `curl -i` printed last.
+/// Returns the last value of a header in the output of `curl -i`.
 fn header(answers: &str, name: &str) -> Option<String> {
     let fields = answers.lines().rev().filter_map(|line| line.split_once(':'));
     let mut named = fields.filter(|(field, _)| field.eq_ignore_ascii_case(name));
@@ -239,41 +238,41 @@
 }
 
 #[test]
-fn the_commands_of_the_readme_lead_to_a_settled_message_and_its_call_back() {
+fn readme_commands_settle_a_message_and_deliver_its_callback() {
     let checkout = Checkout::new();
     let [system, endpoint, message, state] = &checkout.blocks[..] else {
-        panic!(
-            "README.md: four blocks of commands are wanted, of which two stay in their shells: {:?}",
-            checkout.blocks
-        );
+        panic!("README.md: expected four command blocks, of which the first two keep running: {:?}", checkout.blocks);
     };
     let mut system = checkout.shell("system", system);
     let mut endpoint = checkout.shell("endpoint", endpoint);
-    until("all programs started", || system.text().contains("logs:"));
-    until("the endpoint listens", || endpoint.text().contains("listening"));
+    wait_until("all programs started", || system.text().contains("logs:"));
+    wait_until("endpoint listening", || endpoint.text().contains("listening"));
 
     let (status, answers) = checkout.run("message", message);
     assert!(status.success() && answers.contains("202 Accepted"), "{status}: {answers}");
     let name = header(&answers, "X-Message-Name").expect("a name for the message");
     let state = state.replace("NAME", &name);
-    until("the message is settled", || checkout.run("state", &state).1.contains("\"settled\""));
+    wait_until("message settled", || checkout.run("state", &state).1.contains("\"settled\""));
     let ran = |text: &str| text.lines().any(|line| line == "ran a1 hello");
     let called_back =
         |line: &str| line.starts_with("call-back") && line.contains("\"a1\"") && line.contains("\"settled\"");
     assert!(ran(&endpoint.text()), "{}", endpoint.text());
-    until("the call-back", || endpoint.text().lines().any(called_back));
+    wait_until("callback received", || endpoint.text().lines().any(called_back));
 
-    assert!(system.ended().is_none() && endpoint.ended().is_none(), "both run until they are stopped");
+    assert!(
+        system.exit_status().is_none() && endpoint.exit_status().is_none(),
+        "cluster and endpoint run until they are stopped"
+    );
     assert!(system.signal("-INT"));
-    until("the system ends with Ctrl-C", || system.ended().is_some());
-    assert!(system.ended().is_some_and(|status| status.success()), "{}", system.text());
-    assert!(!system.signal("-0"), "all that it started has ended");
+    wait_until("cluster stopped by Ctrl-C", || system.exit_status().is_some());
+    assert!(system.exit_status().is_some_and(|status| status.success()), "{}", system.text());
+    assert!(!system.signal("-0"), "all started processes have exited");
 }
 
 #[test]
-fn only_whole_numbers_are_taken_for_ports() {
+fn port_numbers_inside_longer_numbers_are_not_replaced() {
     let ports = PortSlot::claim();
-    let control = ports.replacements.iter().find(|(usual, _)| *usual == CONTROL).expect("replaced").1;
+    let control = ports.replacements.iter().find(|(default, _)| *default == CONTROL).expect("replaced").1;
     let text = "127.0.0.2:8064, 18064, 80640 and 8064";
     assert_eq!(ports.replace_ports(text), format!("127.0.0.2:{control}, 18064, 80640 and {control}"));
 }
