--- a/crates/willowslip/tests/restart.rs
+++ b/crates/willowslip/tests/restart.rs
@@ -1,5 +1,4 @@
-//! One control node on loopback whose log is cut again and again: what it acknowledged is
-//! there whenever it is killed and begins anew.
+//! A single control node whose log is truncated repeatedly: acknowledged changes survive each kill and restart.
 
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -9,30 +8,30 @@
 
 const BIN: &str = env!("CARGO_BIN_EXE_willowslip");
 
-struct Control {
+struct ControlNode {
     dir: PathBuf,
     port: u16,
     child: Child,
 }
 
-fn begin(dir: &Path) -> Child {
-    let log = std::fs::File::options().create(true).append(true).open(dir.join("log")).expect("a log file");
+fn spawn(dir: &Path) -> Child {
+    let log = std::fs::File::options().create(true).append(true).open(dir.join("log")).expect("log file");
     Command::new(BIN)
         .arg("control")
         .env("WILLOWSLIP_SETTINGS", dir.join("settings.toml"))
         .stderr(Stdio::from(log))
         .spawn()
-        .expect("it starts")
+        .expect("process starts")
 }
 
-impl Control {
-    /// With so little memory that a few configurations fill its log.
-    fn new(name: &str, memory_mb: u32) -> Control {
+impl ControlNode {
+    /// Starts a node; with little memory, a few configurations fill its log.
+    fn new(name: &str, memory_mb: u32) -> ControlNode {
         let from = 30_000 + (std::process::id() % 500) as u16 * 16;
         let free = |b: &u16| (*b..*b + 6).all(|p| TcpListener::bind(("127.0.0.1", p)).is_ok());
         let b = (from..60_000).step_by(16).find(free).expect("free ports");
         let dir = std::env::temp_dir().join(format!("willowslip-{name}-{}", std::process::id()));
-        std::fs::create_dir_all(dir.join("data")).expect("a folder");
+        std::fs::create_dir_all(dir.join("data")).expect("data directory");
         let settings = format!(
             "node = \"core-1\"\nip = \"127.0.0.1\"\nzone = \"z\"\nportRange = [{b}, {}]\nseeds = [\"127.0.0.1:{port}\"]\n\
              initialStart = true\ndataDir = \"{}\"\n[listen]\ncontrol = \"127.0.0.1:{port}\"\n[limits]\n\
@@ -43,17 +42,17 @@
             port = b + 4
         );
         std::fs::write(dir.join("settings.toml"), settings).expect("settings written");
-        let child = begin(&dir);
-        Control { dir, port: b + 4, child }
+        let child = spawn(&dir);
+        ControlNode { dir, port: b + 4, child }
     }
 
-    fn kill_and_begin(&mut self) {
-        self.child.kill().expect("it runs");
-        self.child.wait().expect("it ends");
-        self.child = begin(&self.dir);
+    fn kill_and_restart(&mut self) {
+        self.child.kill().expect("process is running");
+        self.child.wait().expect("process exits");
+        self.child = spawn(&self.dir);
     }
 
-    fn once(&self, method: &str, path: &str, base: u64, body: &str) -> Option<(u16, String)> {
+    fn try_request(&self, method: &str, path: &str, base: u64, body: &str) -> Option<(u16, String)> {
         let mut s = TcpStream::connect(("127.0.0.1", self.port)).ok()?;
         s.set_read_timeout(Some(Duration::from_secs(5))).ok()?;
         write!(
@@ -62,26 +61,26 @@
             body.len()
         )
         .ok()?;
-        let mut said = String::new();
-        s.read_to_string(&mut said).ok()?;
-        let status = said.get(9..12)?.parse().ok()?;
-        Some((status, said.split_once("\r\n\r\n")?.1.to_owned()))
+        let mut response = String::new();
+        s.read_to_string(&mut response).ok()?;
+        let status = response.get(9..12)?.parse().ok()?;
+        Some((status, response.split_once("\r\n\r\n")?.1.to_owned()))
     }
 
-    /// Asks until the answer is a clear one.
-    fn ask(&self, method: &str, path: &str, base: u64, body: &str) -> (u16, String) {
-        let end = Instant::now() + Duration::from_secs(20);
+    /// Repeats a request until it is answered with a status below 500.
+    fn request(&self, method: &str, path: &str, base: u64, body: &str) -> (u16, String) {
+        let deadline = Instant::now() + Duration::from_secs(20);
         loop {
-            match self.once(method, path, base, body) {
+            match self.try_request(method, path, base, body) {
                 Some(a) if a.0 < 500 => return a,
-                a if Instant::now() > end => panic!("no clear answer to {method} {path}: {a:?}"),
+                a if Instant::now() > deadline => panic!("no conclusive response to {method} {path}: {a:?}"),
                 _ => std::thread::sleep(Duration::from_millis(20)),
             }
         }
     }
 }
 
-impl Drop for Control {
+impl Drop for ControlNode {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -106,17 +105,17 @@
 }
 
 #[test]
-fn whenever_it_is_killed_what_it_acknowledged_is_there() {
-    let mut f = Control::new("restart", 8);
-    let mut cut = 0;
+fn acknowledged_configurations_survive_kills() {
+    let mut node = ControlNode::new("restart", 8);
+    let mut incarnations_with_cuts = 0;
     for n in 1..=16u64 {
-        let (status, said) = f.ask("POST", "/config/replace", n - 1, &config(n, 100));
-        assert_eq!(status, 200, "configuration {n}: {said}");
-        cut += usize::from(f.ask("GET", "/status", 0, "").1.contains("log_cuts"));
-        f.kill_and_begin();
-        let (status, said) = f.ask("GET", "/config/read", 0, "");
-        let read: serde_json::Value = serde_json::from_str(&said).expect("a configuration");
-        assert_eq!((status, read["revision"].as_u64()), (200, Some(n)), "read back after the end of the process");
+        let (status, response) = node.request("POST", "/config/replace", n - 1, &config(n, 100));
+        assert_eq!(status, 200, "configuration {n}: {response}");
+        incarnations_with_cuts += usize::from(node.request("GET", "/status", 0, "").1.contains("log_cuts"));
+        node.kill_and_restart();
+        let (status, response) = node.request("GET", "/config/read", 0, "");
+        let read: serde_json::Value = serde_json::from_str(&response).expect("valid JSON");
+        assert_eq!((status, read["revision"].as_u64()), (200, Some(n)), "read back after a kill");
     }
-    assert!(cut >= 2, "the log was cut in {cut} incarnations only");
+    assert!(incarnations_with_cuts >= 2, "the log was truncated in only {incarnations_with_cuts} incarnations");
 }
