--- a/crates/willowslip/tests/soak.rs
+++ b/crates/willowslip/tests/soak.rs
@@ -1,5 +1,5 @@
-//! The short form of the soak: a few seeds, with the invariants on. Before the faults of the review
-//! were mended, each of these broke a rule: TWICE, ORDER, LOST by a header, LOST by a restart.
+//! Short soak runs with a few seeds and the invariant checks on. Each seed reproduced a fault that has been fixed: a
+//! message that ran twice, a broken order, and messages lost because of a header and because of a restart.
 
 use soak::{DurabilityPlan, Plan, Schedule, run, run_durability};
 use std::path::Path;
@@ -7,46 +7,46 @@
 
 const LENGTH: Duration = Duration::from_secs(12);
 
-fn is_clean(seed: u64, network: &str) {
-    is_clean_for(LENGTH, seed, network);
+fn assert_no_violations(seed: u64, network: &str) {
+    assert_no_violations_for(LENGTH, seed, network);
 }
 
-fn is_clean_for(length: Duration, seed: u64, network: &str) {
+fn assert_no_violations_for(length: Duration, seed: u64, network: &str) {
     let pause = Duration::from_millis(15);
     let plan = Plan { seed, length, pause, network: network.into(), keep_dir: false };
-    let verdict = run(Path::new(env!("CARGO_BIN_EXE_willowslip")), &plan).expect("it runs");
+    let verdict = run(Path::new(env!("CARGO_BIN_EXE_willowslip")), &plan).expect("soak runs");
     assert!(verdict.violations.is_empty(), "seed {seed}: {verdict}");
     assert!(verdict.accepted > 0, "seed {seed}: {verdict}");
 }
 
 #[test]
-fn no_rule_is_broken_at_a_first_seed() {
-    is_clean(1, "127.0.7");
+fn invariants_hold_with_seed_1() {
+    assert_no_violations(1, "127.0.7");
 }
 
 #[test]
-fn no_rule_is_broken_at_a_second_seed() {
-    is_clean(2, "127.0.9");
+fn invariants_hold_with_seed_2() {
+    assert_no_violations(2, "127.0.9");
 }
 
 #[test]
-fn no_rule_is_broken_at_a_fourth_seed() {
-    is_clean(4, "127.0.12");
+fn invariants_hold_with_seed_4() {
+    assert_no_violations(4, "127.0.12");
 }
 
 #[test]
-fn no_rule_is_broken_at_a_sixth_seed() {
-    is_clean(6, "127.0.13");
+fn invariants_hold_with_seed_6() {
+    assert_no_violations(6, "127.0.13");
 }
 
-/// Guards against QUOTA: a store that had just begun owned a partition before it knew any
-/// configuration, and took messages without their tenant's limit.
+/// Regression test: a store that had just started owned a partition before it had received a configuration, and
+/// accepted messages without enforcing their tenant's quota.
 #[test]
-fn no_rule_is_broken_as_a_store_comes_back_in_the_midst_of_changes() {
-    is_clean_for(Duration::from_secs(25), 123, "127.0.14");
+fn invariants_hold_when_a_store_restarts_during_configuration_changes() {
+    assert_no_violations_for(Duration::from_secs(25), 123, "127.0.14");
 }
 
-fn all_that_waits_comes_back(seed: u64, network: &str, front_count: usize, writers: usize) {
+fn assert_delayed_messages_stay_readable(seed: u64, network: &str, front_count: usize, writers: usize) {
     let length = Duration::from_secs(10);
     let plan = DurabilityPlan {
         seed,
@@ -57,24 +57,23 @@
         spinners: writers,
         keep_dir: false,
     };
-    let verdict = run_durability(Path::new(env!("CARGO_BIN_EXE_willowslip")), &plan).expect("it runs");
+    let verdict = run_durability(Path::new(env!("CARGO_BIN_EXE_willowslip")), &plan).expect("soak runs");
     assert!(verdict.violations.is_empty() && verdict.checked > 0, "seed {seed}: {verdict}");
 }
 
 #[test]
-fn all_that_waits_comes_back_at_six_fronts() {
-    all_that_waits_comes_back(2, "127.0.15", 6, 0);
+fn delayed_messages_stay_readable_with_six_fronts() {
+    assert_delayed_messages_stay_readable(2, "127.0.15", 6, 0);
 }
 
-/// Guards against LOST: partitions were left with one copy as a disk was slow for a moment, and that
-/// one was lost.
+/// Regression test: a briefly slow disk left partitions with a single replica, and data was lost with that replica.
 #[test]
-fn all_that_waits_comes_back_beside_writers_of_files() {
-    all_that_waits_comes_back(3, "127.0.16", 1, 2);
+fn delayed_messages_stay_readable_under_disk_and_cpu_load() {
+    assert_delayed_messages_stay_readable(3, "127.0.16", 1, 2);
 }
 
 #[test]
-fn troubles_overlap_and_a_seed_draws_the_same_ones_again() {
+fn faults_overlap_and_are_reproducible_from_the_seed() {
     let length = Duration::from_secs(60);
     let schedules: Vec<Schedule> = (0..20).map(|seed| Schedule::draw(seed, length)).collect();
     assert!(schedules.iter().all(|schedule| (2..=5).contains(&schedule.max_concurrent())));
