--- a/crates/willowslip/tests/weights.rs
+++ b/crates/willowslip/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Messages on a route that several services share by weights, on loopback.
+//! Delivery of messages on a route that is split over several services by weight.
 
 use serde_json::json;
 use soak::clients::{HOST, Message, Sent, is_settled, send};
@@ -6,13 +6,13 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const PATIENCE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn options() -> ClusterOptions {
     ClusterOptions { network: "127.0.4".into(), ..ClusterOptions::default() }
 }
 
-/// A configuration whose one route goes to the services as `target` says.
+/// A configuration with one route; `target` is the key and value that select its services.
 fn configuration(revision: u64, target: (&str, serde_json::Value), processors: [&Processor; 2]) -> serde_json::Value {
     let services = ["first", "second"].iter().zip(processors);
     let services: Vec<_> =
@@ -23,10 +23,10 @@
     json!({"revision": revision, "channels": [route], "plants": services, "limits": {}})
 }
 
-/// Sends messages until so many are accepted.
+/// Sends messages until `count` are accepted.
 fn send_accepted(front: &str, label: &str, count: usize) -> Vec<Sent> {
     let mut accepted = Vec::new();
-    let end = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + TIMEOUT;
     for number in 0.. {
         let id = format!("{label}-{number}");
         let message = Message { order_key: id.clone(), id, path: "/m/x".into(), ..Message::default() };
@@ -37,54 +37,54 @@
         if accepted.len() == count {
             break;
         }
-        assert!(Instant::now() < end, "not accepted in time");
+        assert!(Instant::now() < deadline, "not accepted in time");
     }
     accepted
 }
 
-fn all_settle(front: &str, messages: &[Sent], what: &str) {
-    let end = Instant::now() + PATIENCE;
+fn wait_until_settled(front: &str, messages: &[Sent], what: &str) {
+    let deadline = Instant::now() + TIMEOUT;
     for message in messages {
         while !is_settled(front, message) {
-            assert!(Instant::now() < end, "{what}: {} is left lying", message.message.id);
+            assert!(Instant::now() < deadline, "{what}: {} did not settle", message.message.id);
             std::thread::sleep(Duration::from_millis(50));
         }
     }
 }
 
 #[test]
-fn messages_run_on_a_route_with_weights_and_when_it_has_one_service_again() {
-    let processors = [Processor::start().expect("a port"), Processor::start().expect("a port")];
+fn messages_settle_when_weights_are_added_to_and_removed_from_a_route() {
+    let processors = [Processor::start().expect("free port"), Processor::start().expect("free port")];
     let both = [&processors[0], &processors[1]];
-    let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_willowslip")), options()).expect("ports");
-    cluster.start(&configuration(1, ("plant", json!("first")), both)).expect("it starts");
+    let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_willowslip")), options()).expect("free ports");
+    cluster.start(&configuration(1, ("plant", json!("first")), both)).expect("cluster starts");
     let front = cluster.fronts()[0].clone();
-    all_settle(&front, &send_accepted(&front, "plain", 5), "one service");
+    wait_until_settled(&front, &send_accepted(&front, "plain", 5), "one service");
 
     let weights = json!([{"plant": "first", "gain": 1}, {"plant": "second", "gain": 1}]);
     cluster.configure(&configuration(2, ("mix", weights), both)).expect("acknowledged");
     let first_before = processors[0].runs().len();
     let shared = send_accepted(&front, "shared", 40);
-    all_settle(&front, &shared, "weights");
+    wait_until_settled(&front, &shared, "weights");
     let (first, second) = (processors[0].runs().len() - first_before, processors[1].runs().len());
     assert!(first >= 8 && second >= 8, "{first} and {second} of 40 at equal weights");
 
     cluster.configure(&configuration(3, ("plant", json!("first")), both)).expect("acknowledged");
-    all_settle(&front, &send_accepted(&front, "again", 5), "one service again");
+    wait_until_settled(&front, &send_accepted(&front, "again", 5), "one service again");
 }
 
 #[test]
-fn messages_that_wait_for_a_service_go_to_the_one_that_takes_its_place() {
-    let processors = [Processor::start().expect("a port"), Processor::start().expect("a port")];
+fn waiting_messages_go_to_the_replacement_of_their_service() {
+    let processors = [Processor::start().expect("free port"), Processor::start().expect("free port")];
     let both = [&processors[0], &processors[1]];
     let options = ClusterOptions { network: "127.0.5".into(), ..options() };
-    let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_willowslip")), options).expect("ports");
+    let mut cluster = Cluster::new(Path::new(env!("CARGO_BIN_EXE_willowslip")), options).expect("free ports");
     processors[0].set_silent(true);
-    cluster.start(&configuration(1, ("plant", json!("first")), both)).expect("it starts");
+    cluster.start(&configuration(1, ("plant", json!("first")), both)).expect("cluster starts");
     let front = cluster.fronts()[0].clone();
     let waiting = send_accepted(&front, "waiting", 60);
     let mut moved = configuration(2, ("plant", json!("second")), both);
-    moved["plants"].as_array_mut().expect("a list").remove(0);
+    moved["plants"].as_array_mut().expect("array").remove(0);
     cluster.configure(&moved).expect("acknowledged");
-    all_settle(&front, &waiting, "the service is gone");
+    wait_until_settled(&front, &waiting, "after the removal of the service");
 }
