--- a/crates/config/src/configuration.rs
+++ b/crates/config/src/configuration.rs
@@ -18,7 +18,7 @@
     pub services: Vec<Service>,
     #[prost(message, required, tag = "4")]
     pub limits: WireLimits,
-    /// Whose clients may send what; `None` where the configuration knows no tenants.
+    /// `None` if the configuration defines no tenants; clients then need no key.
     #[prost(message, optional, tag = "5")]
     pub tenants: Option<TenantList>,
 }
@@ -56,14 +56,14 @@
     #[prost(double, tag = "13")]
     #[serde(rename = "startSetpointMs")]
     pub target_start_ms: f64,
-    /// Services that share the route, with their weights; empty: `service` has it all.
+    /// Services that share the route, with their weights; if empty, `service` gets all requests.
     #[prost(btree_map = "string, double", tag = "14")]
     #[serde(deserialize_with = "weights")]
     pub mix: BTreeMap<String, f64>,
-    /// Its requests carry no tenant's key.
+    /// Requests on this route carry no tenant key.
     #[prost(bool, tag = "15")]
     pub unkeyed: bool,
-    /// The regions in which its requests may be run, kept and cached; empty: in any.
+    /// The regions in which requests may be run, stored and cached; empty for any region.
     #[prost(string, repeated, tag = "16")]
     #[serde(deserialize_with = "null_as_default")]
     pub domains: Vec<String>,
@@ -84,19 +84,19 @@
     pub dedupes: bool,
     #[prost(string, optional, tag = "6")]
     pub endpoint: Option<String>,
-    /// Of a function: what one processor takes on a worker, how long a start takes,
-    /// and how many requests it may hold at once.
+    /// For functions: the memory of one processor on a worker. `boot_ms` is its start-up time and
+    /// `max_inflight` the number of requests it may process concurrently.
     #[prost(double, tag = "7")]
     pub memory_mb: f64,
     #[prost(double, tag = "8")]
     pub boot_ms: f64,
     #[prost(uint32, tag = "9")]
     pub max_inflight: u32,
-    /// For how many seconds a processor is cold after a start.
+    /// The number of seconds for which a processor is cold after a start.
     #[prost(double, tag = "10")]
     #[serde(deserialize_with = "null_as_default")]
     pub cold_s: f64,
-    /// Requests a second that a cold processor bears, from all machines together; 0: no bound.
+    /// Maximum requests per second to a cold processor, over all machines; 0 for no limit.
     #[prost(double, tag = "11")]
     #[serde(deserialize_with = "null_as_default")]
     pub cold_per_s: f64,
@@ -121,7 +121,7 @@
     pub idle_ms: f64,
 }
 
-/// Reads `null` as what stands where a field is left out.
+/// Deserializes `null` as the default value, like an absent field.
 pub(crate) fn null_as_default<'de, D, T>(d: D) -> Result<T, D::Error>
 where
     D: serde::Deserializer<'de>,
@@ -131,7 +131,7 @@
     Ok(read.unwrap_or_default())
 }
 
-/// Weights by service: an object of numbers, or a list of items that name a service
+/// Deserializes weights by service, from an object of numbers or a list of items with a service
 /// and a weight.
 fn weights<'de, D: serde::Deserializer<'de>>(d: D) -> Result<BTreeMap<String, f64>, D::Error> {
     #[derive(serde::Deserialize)]
@@ -156,20 +156,19 @@
 }
 
 impl Route {
-    /// Stands for the place of a route, which stays when it is given another service.
+    /// Hash of the route's host and prefix; it does not change when the route's service does.
     pub fn place_hash(&self) -> u64 {
         placement_hash(&format!("{}{}", self.host.to_ascii_lowercase(), self.prefix))
     }
 
-    /// The services that its requests may go to: those that share it by weights, where there
-    /// are any, else its own.
+    /// The services that requests may be sent to: those in `mix` if there are any, else `service`.
     pub fn services(&self) -> impl Iterator<Item = &str> + Clone {
         let own = self.mix.is_empty().then_some(self.service.as_str());
         self.mix.keys().map(String::as_str).chain(own)
     }
 
-    /// The service of one request: with weights, by a number that differs from one
-    /// request to the next.
+    /// The service for one request. With weights it is chosen by `number`, which differs between
+    /// requests.
     pub fn service_for(&self, number: u64) -> &str {
         let sum: f64 = self.mix.values().sum();
         let mut at = (number % 1_000_003) as f64 / 1_000_003.0 * sum;
@@ -184,7 +183,7 @@
 }
 
 impl Configuration {
-    /// Reads a whole configuration and checks it; the error names the item.
+    /// Parses and validates a complete configuration; the error names the invalid item.
     pub fn read(json: &[u8]) -> Result<Configuration, String> {
         let t: Configuration = serde_json::from_slice(json).map_err(|e| format!("cannot be read in full: {e}"))?;
         t.check()?;
@@ -201,14 +200,14 @@
                 return Err(format!("plants: name {:?} is missing or used twice", p.name));
             }
             if p.flow_per_s.is_nan() || p.flow_per_s < 0.0 {
-                return Err(format!("plants: {}: flowPerS is not a rate", p.name));
+                return Err(format!("plants: {}: flowPerS must be 0 or more", p.name));
             }
             for (field, value) in [("coldS", p.cold_s), ("coldPerS", p.cold_per_s)] {
                 if !value.is_finite() || value < 0.0 {
                     return Err(format!("plants: {}: {field} must be 0 or more", p.name));
                 }
             }
-            // A function has all three; whatever has none is no function.
+            // A function sets all three fields; any other service sets none.
             if p.memory_mb != 0.0 || p.boot_ms != 0.0 || p.max_inflight != 0 {
                 for (field, value, most) in [
                     ("memoryMb", p.memory_mb, 1e7),
@@ -245,7 +244,7 @@
             if c.mix.values().any(|w| w.is_nan() || *w < 0.0)
                 || (!c.mix.is_empty() && c.mix.values().sum::<f64>() <= 0.0)
             {
-                return Err(format!("channels: {}: the weights of mix add up to nothing", c.name));
+                return Err(format!("channels: {}: the weights of mix must be 0 or more, with a sum above 0", c.name));
             }
             if c.timeout_ms.is_nan() || c.timeout_ms <= 0.0 {
                 return Err(format!("channels: {}: cutoffMs must be above 0", c.name));
@@ -255,7 +254,7 @@
         check_tenants(self.tenants())
     }
 
-    /// The tenants; none where the configuration knows no tenants.
+    /// The tenants; empty if the configuration defines none.
     pub fn tenants(&self) -> &[Tenant] {
         self.tenants.as_ref().map_or(&[], |list| &list.items)
     }
@@ -265,16 +264,15 @@
     }
 }
 
-/// Applies a change of named items to a whole configuration. Fields this
-/// program does not know are kept as they are.
+/// Applies a change of named items to a complete configuration. Unknown fields are preserved.
 pub fn adjust(base: &[u8], change: &[u8]) -> Result<Vec<u8>, String> {
     let mut document = ConfigurationDocument::read(0, base)?;
     document.adjust(change)?;
     document.text()
 }
 
-/// A configuration read into a tree, so that changes one after the other need not
-/// each read the whole anew.
+/// A configuration parsed into a JSON tree, so that consecutive changes do not each parse the
+/// complete text again.
 #[derive(Clone, Default)]
 pub struct ConfigurationDocument {
     pub revision: u64,
@@ -295,36 +293,36 @@
         serde_json::to_vec(&self.whole).map_err(|e| e.to_string())
     }
 
-    /// Applies a change; after an error the tree is of no use.
+    /// Applies a change. After an error the document may be partly changed and must be discarded.
     pub fn adjust(&mut self, change: &[u8]) -> Result<(), String> {
         let whole = &mut self.whole;
         let change: Value = serde_json::from_slice(change).map_err(|e| format!("cannot be read in full: {e}"))?;
         let Some(revision) = change.get("revision").and_then(Value::as_u64) else {
             return Err("revision: missing".into());
         };
-        let top = whole.as_object_mut().ok_or("stored configuration is no object")?;
+        let top = whole.as_object_mut().ok_or("stored configuration is not an object")?;
         let name_of = |v: &Value| v.get("name").and_then(Value::as_str).map(str::to_owned);
         if let Some(remove) = change.get("remove").filter(|v| !v.is_null()) {
-            let remove = remove.as_object().ok_or("remove: wants lists of names")?;
+            let remove = remove.as_object().ok_or("remove: must be an object with lists of names")?;
             for (list, names) in remove {
-                let names = names.as_array().ok_or_else(|| format!("remove: {list}: wants a list"))?;
+                let names = names.as_array().ok_or_else(|| format!("remove: {list}: must be a list"))?;
                 let Some(items) = top.get_mut(list).and_then(Value::as_array_mut) else {
                     return Err(format!("remove: unknown list {list:?}"));
                 };
                 for n in names {
-                    let n = n.as_str().ok_or_else(|| format!("remove: {list}: wants names"))?;
+                    let n = n.as_str().ok_or_else(|| format!("remove: {list}: names must be strings"))?;
                     items.retain(|i| name_of(i).as_deref() != Some(n));
                 }
             }
         }
         if let Some(upsert) = change.get("upsert").filter(|v| !v.is_null()) {
-            let upsert = upsert.as_object().ok_or("upsert: wants lists of items")?;
+            let upsert = upsert.as_object().ok_or("upsert: must be an object with lists of items")?;
             for (list, new) in upsert {
                 if list == "limits" {
                     top.insert(list.clone(), new.clone());
                     continue;
                 }
-                let new = new.as_array().ok_or_else(|| format!("upsert: {list}: wants a list"))?;
+                let new = new.as_array().ok_or_else(|| format!("upsert: {list}: must be a list"))?;
                 let Some(items) = top.get_mut(list).and_then(Value::as_array_mut) else {
                     return Err(format!("upsert: unknown list {list:?}"));
                 };
@@ -343,21 +341,21 @@
     }
 }
 
-/// A configuration as it is kept: one that says the same has the same bytes.
+/// The stored form of a configuration: equal JSON documents have equal bytes.
 pub fn canonical(json: &[u8]) -> Result<Vec<u8>, String> {
     let whole: Value = serde_json::from_slice(json).map_err(|e| format!("cannot be read in full: {e}"))?;
     serde_json::to_vec(&whole).map_err(|e| e.to_string())
 }
 
-/// The change that makes `new` of `old`, as `adjust` takes it; None where there is
-/// none, or where the whole is not much more.
+/// The change that turns `old` into `new`, in the form that `adjust` takes. `None` if no such
+/// change exists or if it is at least half as large as `new`.
 pub fn difference(old: &[u8], new: &[u8]) -> Option<Vec<u8>> {
     let change = changed_items(old, new)?;
     (change.len() * 2 < new.len() && adjust(old, &change).is_ok_and(|made| made == new)).then_some(change)
 }
 
-/// As `difference`, not tried yet. Its trees are gone before that: they take many
-/// times what the text does.
+/// As `difference`, but not verified. The JSON trees are dropped on return, before the change is
+/// verified, because they take many times the memory of the text.
 fn changed_items(old: &[u8], new: &[u8]) -> Option<Vec<u8>> {
     let (was, now): (Value, Value) = (serde_json::from_slice(old).ok()?, serde_json::from_slice(new).ok()?);
     let (was, now) = (was.as_object()?, now.as_object()?);
@@ -368,7 +366,7 @@
             continue;
         }
         let (Some(items), Some(Value::Array(old))) = (value.as_array(), before) else {
-            // Limits go whole; what else there may be is no change of named items.
+            // Limits are replaced as a whole; other fields cannot be changed by named items.
             if field != "limits" {
                 return None;
             }
