--- a/crates/config/src/index.rs
+++ b/crates/config/src/index.rs
@@ -1,12 +1,12 @@
-//! A configuration with its indexes, made once for each version and shared by all
-//! who look things up in it: with over a thousand routes, lists are too slow.
+//! A configuration with its indexes, built once per revision and shared by all readers. With more
+//! than a thousand routes, searching the lists is too slow.
 
 use crate::{Configuration, Homes, Route, Service, Tenant};
 use std::collections::{BTreeSet, HashMap};
 use std::ops::Deref;
 
-/// A hash that is the same in every process and version of the program: partitions are chosen
-/// by it.
+/// A hash that must be the same in every process and program version, because partitions are
+/// selected by it.
 pub fn placement_hash(text: &str) -> u64 {
     let h = text.bytes().fold(0xcbf29ce484222325u64, |h, b| (h ^ b as u64).wrapping_mul(0x100000001b3));
     (h ^ (h >> 32)).wrapping_mul(0x9e3779b97f4a7c15) >> 16
@@ -15,19 +15,19 @@
 #[derive(Clone, Default)]
 pub struct ConfigurationIndex {
     configuration: Configuration,
-    /// Routes of a host in lower case, those of longer prefixes first.
+    /// Routes by lower-case host, longest prefix first.
     hosts: HashMap<String, Vec<usize>>,
     routes: HashMap<String, usize>,
     services: HashMap<String, usize>,
-    /// By service, the shortest aim for the start of a run.
+    /// By service, the shortest target start time of its routes, in milliseconds.
     target_starts: HashMap<String, f64>,
-    /// By service, the routes on which messages for it come in.
+    /// By service, the routes that accept messages for it.
     message_routes: HashMap<String, Vec<usize>>,
-    /// By key, the tenant that holds it.
+    /// Tenants by key.
     tenant_keys: HashMap<String, usize>,
-    /// By name.
+    /// Tenants by name.
     tenant_names: HashMap<String, usize>,
-    /// Any route or tenant is bound to regions.
+    /// Whether any route or tenant is restricted to regions.
     has_homes: bool,
 }
 
@@ -76,7 +76,7 @@
 }
 
 impl ConfigurationIndex {
-    /// The route of a request: by host, then by the longest prefix of its path.
+    /// The route of a request, by host and then by the longest matching path prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         let host = without_port(host);
         let routes = match self.hosts.get(host) {
@@ -94,8 +94,8 @@
         self.routes.get(name).map(|n| &self.configuration.routes[*n])
     }
 
-    /// The route of that name, where it still has the host and path of a message that was taken
-    /// in on it: another route may have been given the same name since.
+    /// The named route, if it still matches the host and path of a message that was accepted on it.
+    /// The name may have been reused for another route since.
     pub fn route_covering(&self, name: &str, host: &str, path: &str) -> Option<&Route> {
         let path = path.split('?').next().unwrap_or("");
         let covers =
@@ -103,35 +103,34 @@
         self.route_named(name).filter(covers)
     }
 
-    /// Whether a service takes no more than so many messages a second, or has one endpoint:
-    /// then as few owners as possible are to give it messages.
+    /// Whether a service has a rate limit or a single endpoint. As few partition owners as possible
+    /// then deliver messages to it.
     pub fn is_metered(&self, service: &str) -> bool {
         self.service(service).is_some_and(|s| s.endpoint.is_some() || s.flow_per_s > 0.0)
     }
 
-    /// Whether any of the services that a route's requests may go to is metered.
+    /// Whether any service of the route is metered.
     pub fn has_metered_service(&self, route: &Route) -> bool {
         route.services().any(|service| self.is_metered(service))
     }
 
-    /// The routes on which messages for a service come in.
+    /// The routes that accept messages for a service.
     pub fn message_routes(&self, service: &str) -> impl ExactSizeIterator<Item = &Route> + Clone {
         let routes = self.message_routes.get(service).map_or(&[][..], Vec::as_slice);
         routes.iter().map(|n| &self.configuration.routes[*n])
     }
 
-    /// Whether requests carry a tenant's key.
+    /// Whether requests must carry a tenant key.
     pub fn has_tenants(&self) -> bool {
         self.configuration.tenants.is_some()
     }
 
-    /// The tenant that holds a key.
     pub fn tenant_of(&self, key: &str) -> Option<&Tenant> {
         self.tenant_keys.get(key).map(|n| &self.configuration.tenants()[*n])
     }
 
-    /// Where requests of a tenant on a route may be run and kept; `tenant` is empty where
-    /// there is none.
+    /// The regions in which requests of a tenant on a route may be run and stored; `tenant` is empty
+    /// if there is none.
     pub fn homes(&self, route: &Route, tenant: &str) -> Homes {
         let homes = Homes::of(&route.domains);
         match self.tenant_named(tenant) {
@@ -140,39 +139,38 @@
         }
     }
 
-    /// As `homes`, by the route's name; `None` if there is no such route.
+    /// As `homes`, by route name; `None` if there is no such route.
     pub fn homes_on(&self, route: &str, tenant: &str) -> Option<Homes> {
         self.route_named(route).map(|route| self.homes(route, tenant))
     }
 
-    /// Whether any route or tenant is bound to regions.
+    /// Whether any route or tenant is restricted to regions.
     pub fn has_homes(&self) -> bool {
         self.has_homes
     }
 
-    /// The regions that any route or tenant is bound to, in their order, each once.
+    /// The regions that any route or tenant is restricted to.
     pub fn home_regions(&self) -> BTreeSet<&str> {
         let routes = self.configuration.routes.iter().flat_map(|route| &route.domains);
         let tenants = self.configuration.tenants().iter().flat_map(|tenant| &tenant.domains);
         routes.chain(tenants).map(String::as_str).collect()
     }
 
-    /// Whether any tenant is held to a limit.
+    /// Whether any tenant has a rate limit.
     pub fn has_limits(&self) -> bool {
         self.configuration.tenants().iter().any(|tenant| tenant.flow_per_s > 0.0)
     }
 
-    /// Whether a tenant is held to a limit.
+    /// Whether a tenant has a rate limit.
     pub fn has_limit(&self, tenant: &str) -> bool {
         self.tenant_named(tenant).is_some_and(|tenant| tenant.flow_per_s > 0.0)
     }
 
-    /// A tenant by its name.
     pub fn tenant_named(&self, name: &str) -> Option<&Tenant> {
         self.tenant_names.get(name).map(|n| &self.configuration.tenants()[*n])
     }
 
-    /// The shortest aim for the start of a run that any route of a service has.
+    /// The shortest target start time of the routes of a service.
     pub fn target_start_ms(&self, service: &str) -> f64 {
         self.target_starts.get(service).copied().unwrap_or(f64::MAX)
     }
