--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,4 +1,4 @@
-//! Settings of a process and the operator's configuration: reading and checking.
+//! Parsing and validation of process settings and of the operator's configuration.
 
 mod configuration;
 mod freshness;
