--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// What a process is told by its settings file.
+/// The contents of a settings file.
 #[derive(Clone, PartialEq, prost::Message, serde::Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct Settings {
@@ -44,7 +44,7 @@
     pub constraints: Constraints,
     #[prost(message, required, tag = "18")]
     pub platform: Platform,
-    /// How much is logged: `error`, `change` or `debug`; empty means `change`.
+    /// Log level: `error`, `change` or `debug`; empty means `change`.
     #[prost(string, tag = "19")]
     pub log_level: String,
     /// The kind of deployment: `functions`, `api` for a gateway, or empty for messages.
@@ -89,8 +89,8 @@
     pub regions: u32,
 }
 
-/// The bounds that the rules name. Every time constant of the programs is a
-/// ratio of one of these.
+/// Limits set by the deployment's requirements. Every time constant of the programs is a fraction
+/// of one of these.
 #[derive(Clone, PartialEq, prost::Message, serde::Deserialize)]
 #[serde(default, rename_all = "camelCase")]
 pub struct Constraints {
@@ -138,38 +138,38 @@
     pub retry_window_s: f64,
     #[prost(double, tag = "22")]
     pub retry_slack: f64,
-    /// Whether a machine takes nothing unless it shows its configuration to be fresh.
+    /// Whether a machine accepts nothing unless its configuration is known to be fresh.
     #[prost(bool, tag = "23")]
     pub closed: bool,
-    /// How long after its removal a tenant's key may still be taken.
+    /// How long a tenant key may still be accepted after its removal.
     #[prost(double, tag = "24")]
     pub revoke_ms: f64,
-    /// How long the key of an operation is remembered; 0: operations have no keys.
+    /// How long the key of an operation is remembered; 0 if operations have no keys.
     #[prost(double, tag = "25")]
     pub key_window_s: f64,
-    /// The window over which a tenant's limit is counted, in seconds; 0: limits are not counted.
+    /// The window over which a tenant's rate limit is measured; 0 if limits are not enforced.
     #[prost(double, tag = "26")]
     pub quota_window_s: f64,
-    /// The part by which a tenant may exceed its limit in a window.
+    /// The fraction by which a tenant may exceed its limit in a window.
     #[prost(double, tag = "27")]
     pub quota_overshoot: f64,
-    /// By how many messages it may exceed it besides.
+    /// The number of messages by which it may exceed the limit in addition.
     #[prost(double, tag = "28")]
     pub quota_slack: f64,
 }
 
 impl Constraints {
-    /// How old the proof may be that a configuration is the newest; `None` where none is
-    /// asked for. An eighth less than the rule: steady clocks may run unevenly.
+    /// Maximum age of the confirmation that the configuration is the latest; `None` if none is
+    /// required. An eighth less than `revokeMs`, because monotonic clocks may differ in rate.
     pub fn freshness_bound(&self) -> Option<Duration> {
         self.closed.then(|| Duration::from_secs_f64(self.revoke_ms * 7.0 / 8.0 / 1000.0))
     }
 
-    /// How long a process waits for news before it asks again: an eighth of `quietMs`, and
-    /// of `revokeMs` where each answer proves the configuration anew.
+    /// How long a process waits for updates before it sends another request: an eighth of `quietMs`,
+    /// or of `revokeMs` if that is less and `closed` requires confirmations of the configuration.
     pub fn news_wait(&self) -> Duration {
-        let proven = if self.closed { self.revoke_ms } else { f64::MAX };
-        Duration::from_millis((self.quiet_ms.min(proven) / 8.0) as u64)
+        let confirm_ms = if self.closed { self.revoke_ms } else { f64::MAX };
+        Duration::from_millis((self.quiet_ms.min(confirm_ms) / 8.0) as u64)
     }
 }
 
@@ -182,12 +182,12 @@
     pub flow_per_s: f64,
     #[prost(double, tag = "3")]
     pub lag_ms: f64,
-    /// Starts and stops a second that the platform takes from all together.
+    /// Starts and stops per second that the platform accepts in total.
     #[prost(double, tag = "4")]
     pub duty_per_s: f64,
 }
 
-/// Why a settings file cannot be used: the field and the reason.
+/// The invalid field of a settings file and the reason.
 #[derive(Debug, PartialEq)]
 pub struct SettingsError {
     pub field: String,
@@ -204,7 +204,7 @@
     Err(SettingsError { field: field.into(), reason: reason.into() })
 }
 
-/// Which of the inner ports a role listens on, counted from the range's start.
+/// A role, with the offset of its internal port from the start of the port range.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
     Control = 0,
@@ -253,7 +253,7 @@
         }
         match self.port_range[..] {
             [a, b] if a > 0 && a + 3 <= b && b < 65536 => {}
-            _ => return settings_error("portRange", "wants first and last of at least four ports"),
+            _ => return settings_error("portRange", "must be the first and last of at least four ports"),
         }
         if self.seeds.is_empty() {
             return settings_error("seeds", "missing");
@@ -282,7 +282,7 @@
                 return settings_error(name, "must be above 0");
             }
         }
-        // Each kind of deployment has bounds of its own.
+        // Each kind of deployment requires further settings.
         let own: &[(&str, f64)] = if self.runs_functions() {
             &[("constraints.retryWindowS", c.retry_window_s), ("platform.dutyPerS", self.platform.duty_per_s)]
         } else if self.runs_gateway() {
@@ -320,22 +320,22 @@
             return settings_error("limits.memoryMb", "must be above 0");
         }
         if !matches!(self.log_level.as_str(), "" | "error" | "change" | "debug") {
-            return settings_error("logLevel", "wants error, change or debug");
+            return settings_error("logLevel", "must be error, change or debug");
         }
         Ok(())
     }
 
-    /// Whether this deployment runs functions rather than keeping messages.
+    /// Whether this deployment runs functions instead of storing messages.
     pub fn runs_functions(&self) -> bool {
         self.rollout == "functions"
     }
 
-    /// Whether this deployment passes requests on to processors that the platform runs.
+    /// Whether this deployment forwards requests to processors that the platform runs.
     pub fn runs_gateway(&self) -> bool {
         self.rollout == "api"
     }
 
-    /// The zones of the regions that are allowed, in their order; empty where any is.
+    /// The zones of the allowed regions, in sorted order; empty if any region is allowed.
     pub fn zones_within(&self, homes: &Homes) -> Vec<String> {
         if !homes.is_bound() {
             return Vec::new();
@@ -344,7 +344,7 @@
         zones.map(|(zone, _)| zone.clone()).collect()
     }
 
-    /// What the traffic role of a front machine is called.
+    /// The name of the role that handles traffic on a front machine.
     pub fn front_role(&self) -> &'static str {
         if self.runs_functions() {
             "functions"
@@ -363,7 +363,7 @@
         self.port_range[0] + role as u32
     }
 
-    /// Inner addresses of the control nodes that the seeds name.
+    /// Internal addresses of the control nodes on the seed hosts.
     pub fn seed_control_nodes(&self) -> Vec<String> {
         let mut all: Vec<String> = self
             .seeds
@@ -376,13 +376,13 @@
         all
     }
 
-    /// How long an owner's lease lasts: a twelfth of the calm that the rules ask for.
+    /// Duration of an owner's lease: a twelfth of `quietMs`.
     pub fn lease_ms(&self) -> u64 {
         (self.constraints.quiet_ms / 12.0) as u64
     }
 
-    /// How long a share of a tenant's limit may be spent after it was asked for, in
-    /// milliseconds: long enough for another leader to be elected meanwhile.
+    /// How long a share of a tenant's limit may be used after it was requested: long enough for
+    /// another leader to be elected meanwhile.
     pub fn quota_lease_ms(&self) -> u64 {
         (self.constraints.quiet_ms / 4.0) as u64
     }
