--- a/crates/agent/src/follower.rs
+++ b/crates/agent/src/follower.rs
@@ -1,5 +1,4 @@
-//! The side of a process that is fed by the agent beside it: asks for news, over loopback, as
-//! long as it runs.
+//! Client side of the local agent: polls it for updates over loopback while the process runs.
 
 use crate::feed::loopback;
 use config::{Role, Settings};
@@ -9,16 +8,15 @@
 use std::time::Instant;
 use tokio::sync::watch;
 
-/// A process of a front machine that follows the agent beside it.
+/// A process of a front machine that receives its updates from the local agent.
 pub struct Follower {
     settings: Settings,
     rpc_clients: Arc<RpcClients>,
-    /// The start of this process.
+    /// Identifies the current run of this process.
     incarnation: u64,
 }
 
 impl Follower {
-    /// One that tells the agent this incarnation.
     pub fn new(settings: &Settings, rpc_clients: Arc<RpcClients>, incarnation: u64) -> Follower {
         Follower { settings: settings.clone(), rpc_clients, incarnation }
     }
@@ -34,10 +32,10 @@
         }
     }
 
-    /// Follows until the process ends. `have` tells the versions that are known, `unidentified`
-    /// the processors whose answers do not name their request; `learn` takes each answer, with
-    /// when it was asked for. `is_leaving` reads the phase of this process, whose change is told
-    /// at once.
+    /// Polls the agent until the process ends. `have` returns the known versions and `unidentified`
+    /// the processors whose responses do not name their request. `learn` receives each update with
+    /// the time of its request. `is_leaving` evaluates the phase of this process; a change to
+    /// leaving is reported at once.
     pub async fn run<T>(
         self,
         mut phase: watch::Receiver<T>,
@@ -48,11 +46,11 @@
     ) {
         let wait = self.settings.constraints.news_wait();
         let address = loopback(&self.settings);
-        let mut told = false;
+        let mut reported_leaving = false;
         loop {
             let leaving = is_leaving(&phase.borrow());
-            let wait_ms = if leaving && !told { 1 } else { wait.as_millis() as u32 };
-            told = leaving;
+            let wait_ms = if leaving && !reported_leaving { 1 } else { wait.as_millis() as u32 };
+            reported_leaving = leaving;
             let request = WatchRequest {
                 node: Some(self.node(leaving)),
                 have: have(),
