--- a/crates/agent/src/identity.rs
+++ b/crates/agent/src/identity.rs
@@ -1,49 +1,49 @@
-//! What a session tells of its node: the incarnation, and whether the node is about to leave.
+//! The state that a session reports for its node: the incarnation, and whether the node is leaving.
 //!
-//! An agent speaks for the service process beside it, which starts and ends on its own. Invariant:
-//! a node that leaves does so for the rest of an incarnation, and each start of the process that
-//! it stands for is another incarnation, so that no start inherits what the former one has told.
+//! An agent reports on behalf of the local service process, which starts and stops independently.
+//! Invariant: a leaving node stays so for the rest of its incarnation, and each start of the
+//! service process begins a new incarnation, so that no start inherits the reports of an earlier one.
 
 use rpc::messages::Node;
 use rpc::next_incarnation;
 
-/// How far a node is on its way out.
+/// The shutdown phase of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
-    /// It takes work.
+    /// The node accepts work.
     Serving,
-    /// The service process beside this one is about to end; its next start serves again.
+    /// The local service process is about to stop; its next start serves again.
     ServiceLeaving,
-    /// This process is about to end.
+    /// This process is about to stop.
     Ending,
 }
 
-/// A node as its session tells of it.
+/// The state of a node that its session reports.
 #[derive(Clone, Debug)]
 pub struct NodeIdentity {
     node: Node,
     phase: Phase,
-    /// The incarnation of the service process beside this one; `None` before it has asked.
+    /// The incarnation of the local service process; `None` before its first request.
     service: Option<u64>,
 }
 
 impl NodeIdentity {
-    /// A node that serves, in the incarnation that it names.
+    /// Creates a serving node with the incarnation in `node`.
     pub fn new(node: Node) -> NodeIdentity {
         NodeIdentity { node, phase: Phase::Serving, service: None }
     }
 
-    /// The node as it is told to others.
+    /// The node as reported to other processes.
     pub fn node(&self) -> Node {
         Node { leaving: self.phase != Phase::Serving, ..self.node.clone() }
     }
 
-    /// The service process beside this one tells its incarnation, and whether it is about to end.
+    /// Records the incarnation of the local service process and whether it is about to stop.
     pub fn service_told(&mut self, incarnation: u64, is_leaving: bool) {
-        if self.service.is_some_and(|former| former != incarnation) {
+        if self.service.is_some_and(|previous| previous != incarnation) {
             self.node.incarnation = next_incarnation(self.node.incarnation);
             telemetry::count("service_restarts");
-            telemetry::change!("the process beside this one was started again: incarnation {}", self.node.incarnation);
+            telemetry::change!("local service process restarted: incarnation is now {}", self.node.incarnation);
             if self.phase == Phase::ServiceLeaving {
                 self.phase = Phase::Serving;
             }
@@ -54,12 +54,12 @@
         }
     }
 
-    /// This process is about to end.
+    /// This process is about to stop.
     pub fn end(&mut self) {
         self.phase = Phase::Ending;
     }
 
-    /// Begins an incarnation after one of this node that is known; `None` if its own comes later.
+    /// Begins an incarnation after `known`; `None` if the current one is already later.
     pub fn begin_after(&mut self, known: u64) -> Option<u64> {
         if known < self.node.incarnation {
             return None;
@@ -68,7 +68,7 @@
         Some(self.node.incarnation)
     }
 
-    /// Its disk was found empty in that incarnation.
+    /// Records the incarnation in which the disk of this node was found empty.
     pub fn set_born(&mut self, incarnation: u64) {
         self.node.born = incarnation;
     }
