--- a/crates/agent/src/lib.rs
+++ b/crates/agent/src/lib.rs
@@ -1,6 +1,6 @@
-//! Keeps a process's session with the control plane and gathers the news: the
-//! configuration, the assignments and the membership. Used by the `agent` program
-//! on the front machines and by the store machines for themselves.
+//! Maintains a process's session with the control plane and receives updates of the configuration,
+//! the assignments and the membership. Used by the `agent` role on front machines and by the store
+//! role on store machines.
 
 mod cold;
 mod feed;
