--- a/crates/agent/src/feed.rs
+++ b/crates/agent/src/feed.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// Where the agent of a machine feeds its front. Several machines may stand on one host, each with
-/// a loopback address of its own: there it is that one.
+/// The address at which the agent serves the local front: the machine's own address if that is a
+/// loopback address, because several machines may run on one host, each with its own.
 pub fn loopback(settings: &Settings) -> String {
     let is_loopback = settings.ip.parse().is_ok_and(|ip: IpAddr| ip.is_loopback());
     match is_loopback {
@@ -20,7 +20,7 @@
 fn answer(session: &Arc<Session>, body: Body, responder: Responder) {
     let session = session.clone();
     match body {
-        // The front beside us, or a neighbour that lacks something.
+        // Sent by the local front or by another agent.
         Body::WatchRequest(w) => {
             if let Some(n) = &w.node
                 && n.role == session.me().role
@@ -56,7 +56,7 @@
     }
 }
 
-/// Compares digests with a few others from time to time, and mends gaps.
+/// Periodically compares versions with one other agent and fetches missing updates.
 pub async fn gossip(session: Arc<Session>) {
     let period = Duration::from_millis((session.settings.constraints.converge_ms / 4.0) as u64);
     let mut round = 0usize;
@@ -65,8 +65,8 @@
         round += 1;
         let port = session.settings.inner_port(Role::Agent);
         let me = session.me();
-        // Neighbours in the zone; every eighth round anybody.
-        let all: Vec<String> = session.with_known(|k| {
+        // Agents in the same zone; in every eighth round, agents in all zones.
+        let peers: Vec<String> = session.with_known(|k| {
             k.membership
                 .nodes
                 .iter()
@@ -74,10 +74,10 @@
                 .filter_map(|n| n.inner.rsplit_once(':').map(|(ip, _)| format!("{ip}:{port}")))
                 .collect()
         });
-        if all.is_empty() {
+        if peers.is_empty() {
             continue;
         }
-        let to = session.rpc_clients.to(&all[(round + me.incarnation as usize) % all.len()]);
+        let to = session.rpc_clients.to(&peers[(round + me.incarnation as usize) % peers.len()]);
         let have = session.with_known(|k| k.have());
         if let Ok(Body::Gossip(g)) = to.call(Body::Gossip(Gossip { have, pull: false }), period).await {
             let newer = g.have.configuration > have.configuration
@@ -121,8 +121,8 @@
     tokio::spawn(session.clone().heed(settings_updates));
     tokio::spawn(gossip(session.clone()));
     let _ = stop.wait_for(|s| *s).await;
-    // The front may drain for as long as it is allowed to; it is fed until then. Whether the node
-    // leaves is the front's to say: it may go on while its agent alone is started again.
+    // The front receives updates until its drain period ends. The front reports whether the node
+    // leaves, because it may keep running while only its agent is restarted.
     tokio::time::sleep(Duration::from_millis((settings.constraints.grace_s * 750.0) as u64)).await;
     telemetry::report(&settings.node, &rpc::sent_frame_stats());
     Ok(())
