--- a/crates/agent/src/placement.rs
+++ b/crates/agent/src/placement.rs
@@ -1,21 +1,21 @@
-//! Which partition a message belongs to, and which one knows where an operation or an order key is
-//! kept. The same at every front that knows the same.
+//! Selects the partition of a message, and the partition that records where an operation or an order
+//! key is stored. Deterministic: fronts with the same view select the same partitions.
 
 use crate::ClusterView;
 use config::{ConfigurationIndex, Homes, Route, placement_hash};
 use rpc::messages::{Assignments, Node, OperationId, OrderKey, Partition};
 use std::collections::BTreeSet;
 
-/// What of a message decides which partition keeps it.
+/// The properties of a message that determine its partition.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PlacementKeys<'a> {
-    /// The tenant that sends it; empty without tenants.
+    /// The tenant that sends the message; empty without tenants.
     pub tenant: &'a str,
-    /// Empty without one, or where the route keeps no order.
+    /// Empty if there is none or if the route is not ordered.
     pub order_key: &'a str,
-    /// Where operations have keys.
+    /// Set if operations have keys.
     pub operation: Option<OperationId>,
-    /// The message's own id.
+    /// The message id.
     pub id: &'a str,
 }
 
@@ -28,11 +28,11 @@
     }
 }
 
-/// The partition that a message belongs to. All with one order key share one,
-/// whatever their service; all for one endpoint share one, so that one owner
-/// meters it; others go to an owner near the client, or, where operations have keys, by
-/// these. A message that is bound to regions is kept by a partition whose copies all stand in one of them; `None` while there
-/// is none.
+/// The partition of a message. Messages with the same order key share a partition, whatever their
+/// service. Messages for the same endpoint share one, so that a single owner enforces its rate.
+/// Others are placed by operation key if operations have keys, else at an owner near the client.
+/// A message restricted to regions is stored by a partition whose replicas are all in one of them;
+/// `None` while there is no such partition.
 pub fn partition_of(
     known: &ClusterView,
     configuration: &ConfigurationIndex,
@@ -44,29 +44,29 @@
     partition_for_service(known, configuration, route, service, keys, zone)
 }
 
-/// The partition whose log says where an operation is kept: it keeps it itself, or has placed it
-/// in another one. It follows from the operation alone, as whatever else decides where a message
-/// belongs (its route, service, order key, homes) may change between two tries; `None` before
-/// there are partitions.
+/// The partition whose log records where an operation is stored: in that partition or in another
+/// one. It depends on the operation alone, because the other inputs of placement (route, service,
+/// order key, homes) may change between two attempts. `None` before there are partitions.
 pub fn operation_directory(assignments: &Assignments, operation: &OperationId) -> Option<u32> {
     assignments.partition_for(operation.high)
 }
 
-/// The partition whose log says where the messages of an order key are kept, as
-/// [`operation_directory`] does for an operation: where they are bound to no region, it keeps them.
+/// The partition whose log records where the messages of an order key are stored, as
+/// [`operation_directory`] for an operation. It stores them itself if they are not restricted to
+/// regions.
 pub fn order_directory(assignments: &Assignments, order: &OrderKey) -> Option<u32> {
     let keys = PlacementKeys { tenant: &order.tenant, order_key: &order.key, ..PlacementKeys::default() };
     assignments.partition_for(keys.order_hash())
 }
 
-/// Whether messages with these homes may be kept by a partition, wherever they would be placed.
+/// Whether a partition may store messages with these homes, wherever they would be placed.
 pub fn may_be_kept_in(assignments: &Assignments, homes: &Homes, partition: u32) -> bool {
     let found = assignments.partitions.iter().find(|p| p.id == partition);
     found.is_some_and(|p| !homes.is_bound() || !p.home.is_empty() && homes.allows(&p.home))
 }
 
-/// The service that a message goes to: of services that share its route by weights, the one
-/// that its id chooses, the same at every node that knows the same weights.
+/// The service of a message. If services share the route by weights, the message id selects one, the
+/// same on every node with the same weights.
 pub fn service_of<'a>(route: &'a Route, id: &str) -> &'a str {
     match route.mix.is_empty() {
         true => &route.service,
@@ -74,7 +74,7 @@
     }
 }
 
-/// As `partition_of`, of a message that goes to this service of its route.
+/// As `partition_of`, for a message to the given service of its route.
 fn partition_for_service(
     known: &ClusterView,
     configuration: &ConfigurationIndex,
@@ -87,7 +87,7 @@
     let homes = configuration.homes(route, keys.tenant);
     let hash = match keys.operation {
         _ if route.sequenced && ordered => keys.order_hash(),
-        // Tries at one operation have ids of their own, by which their services may differ.
+        // Attempts at one operation have different message ids and may select different services.
         Some(_) if configuration.has_metered_service(route) => route.place_hash(),
         Some(operation) => operation.high,
         None if configuration.is_metered(service) => placement_hash(service),
@@ -96,13 +96,13 @@
     partition_within(&known.assignments, &homes, hash)
 }
 
-/// The partition of whatever has this hash and these homes; `None` while no partition is bound
-/// to any of them. It changes when one of these regions gets its partitions.
+/// The partition for a hash within the given homes; `None` while no partition is in any of them.
+/// The result changes when another of these regions gets its first partitions.
 fn partition_within(assignments: &Assignments, homes: &Homes, hash: u64) -> Option<u32> {
     if !homes.is_bound() {
         return assignments.partition_for(hash);
     }
-    // By rendezvous: a region that is added to the others takes its part only.
+    // Rendezvous hashing: an added region takes over only its share of the hashes.
     let weight = |region: &&str| placement_hash(&format!("{region} {hash}"));
     let has_partitions = |region: &&str| assignments.partitions.iter().any(|p| p.home == *region);
     let region = homes.regions().filter(has_partitions).max_by_key(weight)?;
@@ -111,12 +111,13 @@
     Some(bound[at as usize])
 }
 
-/// Whether a partition may keep messages with these homes.
+/// Whether messages with these homes are placed in a partition: unrestricted ones only in a partition
+/// without a home region, restricted ones only in a partition of an allowed region.
 fn may_keep(partition: &Partition, homes: &Homes) -> bool {
     homes.is_bound() != partition.home.is_empty() && homes.allows(&partition.home)
 }
 
-/// A partition whose owner is in this zone, or any where there is none.
+/// A partition whose owner is in this zone, or any permitted one if there is none.
 fn near_partition(known: &ClusterView, homes: &Homes, hash: u64, zone: &str) -> Option<u32> {
     let is_near = |owner: &Node| owner.zone == zone && !owner.leaving;
     let here: Vec<u32> = known
@@ -132,8 +133,7 @@
     }
 }
 
-/// The partitions that may keep messages for a metered service, which is sent no more than so
-/// many a second by all their owners together.
+/// The partitions that may store messages for a metered service; their owners share its rate limit.
 pub fn metered_partitions(
     known: &ClusterView,
     configuration: &ConfigurationIndex,
@@ -142,7 +142,7 @@
 ) -> BTreeSet<u32> {
     let routes = configuration.message_routes(service);
     if routes.clone().any(|route| route.sequenced) {
-        // By their order keys they are kept by any.
+        // Placement by order key may select any partition.
         return known.assignments.partitions.iter().map(|partition| partition.id).collect();
     }
     let bound_tenants = configuration.tenants().iter().filter(|tenant| !tenant.domains.is_empty());
