--- a/crates/agent/src/session.rs
+++ b/crates/agent/src/session.rs
@@ -7,40 +7,40 @@
 use std::time::{Duration, Instant};
 use tokio::sync::watch;
 
-/// What a process knows of the world. Newer versions replace older ones; it
-/// never goes back.
+/// A process's view of the cluster. Only newer versions replace parts of it.
 #[derive(Clone, Default)]
 pub struct ClusterView {
     pub json: Bytes,
-    /// The last changes of the configuration that were taken, to pass them on.
+    /// The latest configuration changes that were applied, kept to forward them.
     pub steps: Vec<ConfigurationStep>,
     pub configuration: Arc<ConfigurationIndex>,
     pub assignments: Arc<Assignments>,
     pub membership: Arc<Membership>,
     pub leader: String,
-    /// A change did not fit: the whole configuration is wanted.
-    whole: bool,
-    /// Until when the configuration is shown to be the newest.
+    /// A change could not be applied, so the complete configuration is requested.
+    needs_full_configuration: bool,
+    /// When the configuration was last confirmed to be the latest.
     pub freshness: Freshness,
 }
 
 impl ClusterView {
     pub fn have(&self) -> ViewVersions {
-        let configuration = if self.whole { 0 } else { self.configuration.revision };
+        let configuration = if self.needs_full_configuration { 0 } else { self.configuration.revision };
         ViewVersions { configuration, assignments: self.assignments.version, membership: self.membership.version }
     }
 
-    /// Takes whatever is newer; tells whether anything was.
+    /// Applies whatever is newer; returns whether anything changed.
     pub fn take(&mut self, news: &ViewUpdate) -> bool {
         let mut moved = false;
         if let Some(json) = news.decoded_configuration()
             && let Ok(t) = Configuration::read(&json)
-            && (t.revision > self.configuration.revision || (self.whole && t.revision == self.configuration.revision))
+            && (t.revision > self.configuration.revision
+                || (self.needs_full_configuration && t.revision == self.configuration.revision))
         {
             self.configuration = Arc::new(t.into());
             self.json = json;
             self.steps.clear();
-            self.whole = false;
+            self.needs_full_configuration = false;
             moved = true;
         }
         moved |= self.take_steps(&news.steps);
@@ -62,8 +62,8 @@
         moved
     }
 
-    /// As `take`, of the answer to what was asked at `asked_at`: it may show that a
-    /// configuration was the newest then.
+    /// As `take`, for the response to a request sent at `asked_at`. The response may confirm that a
+    /// configuration was the latest at that time.
     pub fn take_answer(&mut self, news: &ViewUpdate, asked_at: Instant) -> bool {
         let moved = self.take(news);
         let age = news.configuration_age_ms.map(Duration::from_millis);
@@ -73,17 +73,18 @@
         moved
     }
 
-    /// As `news_for`, with how fresh the configuration was when it was asked for.
+    /// As `news_for`, with the age of the configuration's confirmation at the time of the request.
     pub fn proven_news_for(&self, have: &ViewVersions, asked_at: Instant) -> ViewUpdate {
         let configuration_age_ms = self.freshness.age_ms(asked_at);
         ViewUpdate { configuration_age_ms, ..self.news_for(have) }
     }
 
-    /// Takes changes of the configuration, each on the revision that it was made for.
+    /// Applies configuration changes, each to the revision it was made for.
     fn take_steps(&mut self, steps: &[ConfigurationStep]) -> bool {
         let new: Vec<&ConfigurationStep> = steps.iter().filter(|s| s.revision > self.configuration.revision).collect();
         let Some(last) = new.last() else { return false };
-        // One after the other on one tree; the last one's print is that of the whole.
+        // The changes are applied in turn to one document; the fingerprint of the last change is
+        // that of the resulting configuration.
         let made = ConfigurationDocument::read(self.configuration.revision, &self.json).and_then(|mut document| {
             for s in &new {
                 if s.since != document.revision {
@@ -95,15 +96,15 @@
         });
         let read = made.and_then(|j| match rpc::fingerprint(&j) == last.fingerprint {
             true => Configuration::read(&j).map(|t| (Bytes::from(j), t)),
-            false => Err("another print".into()),
+            false => Err("the fingerprint does not match".into()),
         });
         let (json, t) = match read {
             Ok(r) => r,
             Err(e) => {
-                // Not guessed: the whole is asked for.
-                telemetry::debug!("changes of the configuration not taken: {e}");
+                // The complete configuration is requested instead.
+                telemetry::debug!("configuration changes refused, requesting the complete configuration: {e}");
                 telemetry::count("steps_refused");
-                self.whole = true;
+                self.needs_full_configuration = true;
                 return false;
             }
         };
@@ -116,8 +117,8 @@
         true
     }
 
-    /// The configuration for one that has revision `have`: what changed since, or
-    /// the whole.
+    /// The update for a process at revision `have`: the changes since then, or the complete
+    /// configuration.
     fn configuration_since(&self, have: u64) -> (Option<Bytes>, Vec<ConfigurationStep>) {
         if self.configuration.revision <= have {
             return (None, Vec::new());
@@ -128,7 +129,7 @@
         }
     }
 
-    /// All that the other lacks, by its versions.
+    /// Everything newer than the versions in `have`.
     pub fn news_for(&self, have: &ViewVersions) -> ViewUpdate {
         let mine = ViewVersions { configuration: self.configuration.revision, ..self.have() };
         let (configuration, steps) = self.configuration_since(have.configuration);
@@ -149,24 +150,24 @@
     }
 
     pub fn node(&self, name: &str, role: &str) -> Option<&Node> {
-        // Membership are in order of their nodes' names.
+        // The nodes of a membership are sorted by name.
         let at = self.membership.nodes.binary_search_by(|n| n.name.as_str().cmp(name)).ok()?;
         self.membership.nodes.get(at).filter(|n| n.role == role)
     }
 }
 
-/// The session of one process: known state and how to reach the control nodes.
+/// The session of a process with the control plane: its view and the control nodes' addresses.
 pub struct Session {
     pub settings: Settings,
     pub rpc_clients: Arc<RpcClients>,
     known: watch::Sender<ClusterView>,
     identity: Mutex<NodeIdentity>,
     control_nodes: Mutex<Vec<String>>,
-    /// The cluster's time: carried on here, so that it outlasts the loss of all store and
-    /// control machines.
+    /// The cluster time, also maintained here so that it survives the loss of all store and control
+    /// machines.
     time: Mutex<CarriedTime>,
     start: Instant,
-    /// Processors whose answers do not name their request, as the front beside it found.
+    /// Processors whose responses do not name their request, as reported by the local front.
     unidentified: Mutex<Vec<String>>,
 }
 
@@ -201,29 +202,29 @@
         self.known.send_if_modified(|k| k.take(news))
     }
 
-    /// Begins with the membership of a former incarnation: addresses to use until a leader
-    /// tells the current one, which replaces it whatever its version.
-    pub fn begin_with(&self, former: Membership) {
-        self.known.send_modify(|k| k.membership = Arc::new(Membership { version: 0, ..former }));
+    /// Starts from the membership of a previous incarnation, for its addresses. The first membership
+    /// from a leader replaces it, whatever its version.
+    pub fn begin_with(&self, previous: Membership) {
+        self.known.send_modify(|k| k.membership = Arc::new(Membership { version: 0, ..previous }));
     }
 
     fn now(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
     }
 
-    /// The cluster's time as it is carried on here; 0 if it was told none.
+    /// The cluster time as maintained here; 0 if none was received.
     fn carried_ms(&self) -> u64 {
         self.time.lock().unwrap().time(self.now()).unwrap_or(0)
     }
 
-    /// Takes the answer to what was asked at `asked_at`.
+    /// Applies the response to a request sent at `asked_at`.
     fn take_answer(&self, news: &ViewUpdate, asked_at: Instant) -> bool {
         self.known.send_if_modified(|k| k.take_answer(news, asked_at))
     }
 
-    /// Whether an answer leaves the configuration unproven for so long that another control
-    /// node had better be asked.
-    fn wants_proof(&self, news: &ViewUpdate) -> bool {
+    /// Whether the confirmation in a response is so old that another control node should be asked:
+    /// older than half of the freshness bound, or missing.
+    fn needs_confirmation(&self, news: &ViewUpdate) -> bool {
         let bound = self.settings.constraints.freshness_bound();
         let age = news.configuration_age_ms.map(Duration::from_millis);
         bound.is_some_and(|bound| age.is_none_or(|age| age > bound / 2))
@@ -233,49 +234,49 @@
         self.identity.lock().unwrap().node()
     }
 
-    /// An incarnation of this node is known that comes after its own: begins another.
+    /// Begins a new incarnation if `newer_incarnation` is not before the current one.
     pub fn relive(&self, newer_incarnation: u64) -> Option<u64> {
         if !is_valid_incarnation(newer_incarnation) {
             return None;
         }
         let incarnation = self.identity.lock().unwrap().begin_after(newer_incarnation)?;
-        telemetry::change!("an incarnation after this one is known: now {incarnation}");
+        telemetry::change!("a later incarnation of this node is known; incarnation is now {incarnation}");
         Some(incarnation)
     }
 
-    /// This node's disk is another one than was known, since that incarnation.
+    /// Records the incarnation since which this node has a different disk.
     pub fn reborn(&self, incarnation: u64) {
         self.identity.lock().unwrap().set_born(incarnation);
     }
 
-    /// Takes what the front tells of processors whose answers do not name their request;
-    /// the control nodes are told with the next watch request.
+    /// Records the processors whose responses do not name their request, as reported by the front.
+    /// The next watch request reports them to the control nodes.
     pub fn set_unidentified(&self, addresses: &[String]) {
         *self.unidentified.lock().unwrap() = addresses.to_vec();
     }
 
-    /// This process is about to end: its node takes no work any more.
+    /// This process is about to stop; its node accepts no more work.
     pub fn set_leaving(&self) {
         self.identity.lock().unwrap().end();
     }
 
-    /// The service process beside this one tells its incarnation, and whether it is about to end.
+    /// Records the incarnation of the local service process and whether it is about to stop.
     pub fn service_told(&self, incarnation: u64, is_leaving: bool) {
         self.identity.lock().unwrap().service_told(incarnation, is_leaving);
     }
 
-    /// The settings name other control nodes now: they are asked as well.
+    /// Adds the control nodes named by changed settings.
     pub fn reseed(&self, seeds: &[String]) {
         let mut all = self.control_nodes.lock().unwrap();
         for s in seeds {
             if !all.contains(s) {
-                telemetry::change!("control node {s} named by the settings");
+                telemetry::change!("control node {s} added from the settings");
                 all.push(s.clone());
             }
         }
     }
 
-    /// Takes new seeds whenever the settings change.
+    /// Adds new seeds whenever the settings change.
     pub async fn heed(self: Arc<Self>, mut settings_updates: watch::Receiver<Settings>) {
         while settings_updates.changed().await.is_ok() {
             let seeds = settings_updates.borrow_and_update().seed_control_nodes();
@@ -283,7 +284,7 @@
         }
     }
 
-    /// Control nodes by how good they are to ask: those of this zone first.
+    /// Control nodes in order of preference: this zone first, then this region.
     pub fn order_control_nodes(&self) -> Vec<String> {
         let mut all = self.control_nodes.lock().unwrap().clone();
         self.with_known(|k| {
@@ -301,14 +302,14 @@
                 }
             };
             let mine = self.settings.inner_addr(Role::Control);
-            // Those that are as near as each other are preferred by some nodes each.
+            // Spreads the nodes over control nodes of equal distance.
             let spread = |addr: &String| placement_hash(&format!("{addr} {}", self.settings.node));
             all.sort_by_cached_key(|a| (near(a), *a != mine, spread(a)));
         });
         all
     }
 
-    /// Keeps asking for news; ends never.
+    /// Polls the control nodes for updates; never returns.
     pub async fn keep(self: Arc<Self>) {
         let quiet = self.settings.constraints.quiet_ms;
         let wait = self.settings.constraints.news_wait().as_millis() as u32;
@@ -330,7 +331,7 @@
                 ..WatchRequest::default()
             };
             let asked_ms = self.now();
-            // The first answers bring the whole, over what may be a slow link.
+            // The first responses carry the complete state, possibly over a slow link.
             let times = if w.have.configuration == 0 || w.have.membership == 0 { 4 } else { 2 };
             let asked_at = Instant::now();
             let asked = self
@@ -352,8 +353,8 @@
                     }
                     self.take_answer(&n, asked_at);
                     if self.settings.runs_functions() && !n.steps.is_empty() {
-                        // Reading a large configuration costs a small machine much: what
-                        // follows closely is taken together.
+                        // Parsing a large configuration is expensive on a small machine, so changes
+                        // in quick succession are fetched together.
                         tokio::time::sleep(Duration::from_millis(
                             (self.settings.constraints.converge_ms / 16.0) as u64,
                         ))
@@ -362,14 +363,15 @@
                     if n.newer_incarnation > 0 && self.relive(n.newer_incarnation).is_some() {
                         continue;
                     }
-                    if n.leader.is_empty() || self.wants_proof(&n) {
-                        // It follows nobody itself: others may know more.
+                    if n.leader.is_empty() || self.needs_confirmation(&n) {
+                        // The control node knows no leader or its confirmation is too old; another
+                        // one may have newer information.
                         turn += 1;
                         tokio::time::sleep(Duration::from_millis((quiet / 80.0) as u64)).await;
                         continue;
                     }
                     if turn != 0 && self.order_control_nodes().first() != Some(&addr) {
-                        // Once in a while back to the nearest.
+                        // Returns to the nearest control node.
                         turn = 0;
                     }
                 }
