--- a/crates/config/tests/checks.rs
+++ b/crates/config/tests/checks.rs
@@ -1,4 +1,4 @@
-//! Settings and configurations that must not be taken.
+//! Validation of settings and configurations, route lookup, and configuration changes.
 
 use config::*;
 use serde_json::{Value, json};
@@ -26,7 +26,7 @@
 "#;
 
 #[test]
-fn settings_name_the_field_that_is_wrong() {
+fn settings_errors_name_the_invalid_field() {
     assert!(Settings::parse(SETTINGS).is_ok(), "unknown fields are ignored");
     for (from, to, field) in [
         ("node = \"core-1\"", "", "node"),
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn the_longest_prefix_of_the_host_routes() {
+fn the_longest_prefix_on_the_host_selects_the_route() {
     let t = ConfigurationIndex::from(Configuration::read(config().to_string().as_bytes()).expect("good"));
     assert_eq!(t.route("h", "/a/x").map(|c| c.name.as_str()), Some("r1"));
     assert_eq!(t.route("H:80", "/a/b/x").map(|c| c.name.as_str()), Some("r2"));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn adjusting_changes_named_items_and_keeps_the_rest() {
+fn adjust_changes_named_items_and_keeps_the_rest() {
     let base = config().to_string();
     let change = json!({"revision": 9, "upsert": {"channels": [{"name": "r3", "host": "h", "prefix": "/c/",
         "cutoffMs": 5, "plant": "p"}]}, "remove": {"channels": ["r2"]}});
@@ -89,7 +89,7 @@
         serde_json::from_slice(&adjust(base.as_bytes(), change.to_string().as_bytes()).expect("good")).expect("json");
     assert_eq!(got["revision"], 9);
     assert_eq!(got["channels"].as_array().map(Vec::len), Some(2));
-    assert_eq!(got["channels"][0]["odd"], true, "what is not known here is kept");
+    assert_eq!(got["channels"][0]["odd"], true, "unknown fields are kept");
     assert_eq!(got["extra"], json!([1]));
     for bad in [
         json!({"upsert": {}}),
@@ -101,13 +101,13 @@
 }
 
 #[test]
-fn what_changed_makes_the_same_whole_again() {
+fn applying_a_difference_yields_the_new_configuration() {
     let old = canonical(config().to_string().as_bytes()).expect("read");
     let mut now = config();
     now["revision"] = json!(9);
     now["channels"][1]["cutoffMs"] = json!(20);
     now["limits"] = json!({"bodyBytes": 200});
-    // Much of a small one has changed: told whole. Of a large one it is a part.
+    // In a small configuration the change is too large a part; in a large one it is a small part.
     let many = |v: &Value| {
         let mut v = v.clone();
         let more =
@@ -118,10 +118,10 @@
     };
     let (old_many, mut now_many) = (many(&config()), many(&now));
     assert_eq!(difference(&old, &old_many), None);
-    let change = difference(&old_many, &now_many).expect("small beside the whole");
+    let change = difference(&old_many, &now_many).expect("small compared with the configuration");
     assert!(change.len() < now_many.len() / 10);
     assert_eq!(adjust(&old_many, &change).expect("applies"), now_many);
-    // Removed and added: at the end, as an adjustment puts it.
+    // One item removed and one appended at the end, where adjust adds new items.
     let mut v: Value = serde_json::from_slice(&now_many).expect("json");
     let all = v["channels"].as_array_mut().expect("a list");
     all.remove(0);
@@ -130,14 +130,14 @@
     let last = canonical(v.to_string().as_bytes()).expect("read");
     let change = difference(&now_many, &last).expect("small");
     assert_eq!(adjust(&now_many, &change).expect("applies"), last);
-    // In another order it is not what a change of named items can make.
+    // A change of named items cannot reorder them.
     v["channels"].as_array_mut().expect("a list").reverse();
     now_many = canonical(v.to_string().as_bytes()).expect("read");
     assert_eq!(difference(&last, &now_many), None);
 }
 
 #[test]
-fn functions_with_senseless_sizes_are_refused_by_name() {
+fn functions_with_invalid_sizes_are_rejected_by_name() {
     let read = |v: &Value| Configuration::read(v.to_string().as_bytes());
     let mut c = config();
     c["plants"][0] = json!({"name": "p", "probe": null, "memoryMb": 128, "bootMs": 900, "maxInflight": 1});
@@ -148,7 +148,7 @@
         let e = read(&bad).expect_err(field);
         assert!(e.contains(field) && e.contains("p:"), "{e}");
     }
-    // A split route: weights of known services that add up to something.
+    // A route with weights needs known services and a sum above 0.
     c["channels"][0]["mix"] = json!({"p": 3, "q": 1});
     assert!(read(&c).expect_err("unknown").contains("\"q\""));
     c["channels"][0]["mix"] = json!({"p": 0});
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_route_covers_what_was_taken_in_on_it_until_its_name_passes_to_another_one() {
+fn a_route_covers_its_accepted_messages_until_its_name_is_reused() {
     let index = |value: &Value| {
         ConfigurationIndex::from(Configuration::read(value.to_string().as_bytes()).expect("a configuration"))
     };
