--- a/crates/config/tests/freshness.rs
+++ b/crates/config/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! How long a process may act on its configuration.
+//! How long a process may use its configuration without a new confirmation.
 
 use config::Freshness;
 use std::time::{Duration, Instant};
@@ -10,14 +10,14 @@
 }
 
 #[test]
-fn a_configuration_that_was_never_shown_to_be_the_newest_is_not_fresh() {
+fn a_configuration_that_was_never_confirmed_is_not_fresh() {
     let start = Instant::now();
     assert!(!Freshness::default().is_within(BOUND, start));
     assert_eq!(Freshness::default().age(start), None);
 }
 
 #[test]
-fn freshness_runs_out_by_the_clock_without_a_step() {
+fn freshness_expires_with_time_alone() {
     let start = Instant::now();
     let mut freshness = Freshness::default();
     freshness.shown(7, start, 7);
@@ -26,11 +26,11 @@
 }
 
 #[test]
-fn what_is_behind_the_newest_is_fresh_only_once_it_has_caught_up() {
+fn an_outdated_configuration_is_fresh_only_after_it_has_caught_up() {
     let start = Instant::now();
     let mut freshness = Freshness::default();
     freshness.shown(7, start, 7);
-    // A key was taken away by revision 8, which has not come here yet.
+    // Revision 8, which removes a key, has not been received yet.
     freshness.shown(8, after(start, 3000), 7);
     assert!(!freshness.is_within(BOUND, after(start, 5000)), "by revision 7 alone");
     freshness.moved_to(8);
@@ -39,11 +39,11 @@
 }
 
 #[test]
-fn one_that_is_always_a_little_behind_stays_fresh() {
+fn a_configuration_that_is_always_slightly_behind_stays_fresh() {
     let start = Instant::now();
     let mut freshness = Freshness::default();
     freshness.shown(1, start, 1);
-    // A change every half second, each of which comes here a second later.
+    // The configuration changes every 500 ms; each change is received one second later.
     for step in 1..40 {
         let now = after(start, step * 500);
         freshness.shown(step + 1, now, step.saturating_sub(1).max(1));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn an_older_statement_never_shortens_a_newer_one() {
+fn an_older_confirmation_does_not_replace_a_newer_one() {
     let start = Instant::now();
     let mut freshness = Freshness::default();
     freshness.shown(8, after(start, 3000), 8);
