--- a/crates/config/tests/tenants.rs
+++ b/crates/config/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants in a configuration: which are taken, and whom a key belongs to.
+//! Validation of tenants and lookup of tenants by key.
 
 use config::{Configuration, ConfigurationIndex};
 use serde_json::{Value, json};
@@ -22,12 +22,16 @@
     let clinic = &config.tenants()[0];
     assert_eq!((clinic.name.as_str(), clinic.rank), ("clinic", 2));
     assert_eq!((clinic.flow_per_s, clinic.surge), (211.0, 10.0));
-    assert_eq!((config.tenants()[1].flow_per_s, config.tenants()[1].surge), (0.0, 0.0), "left out is no limit");
+    assert_eq!(
+        (config.tenants()[1].flow_per_s, config.tenants()[1].surge),
+        (0.0, 0.0),
+        "no limit if the fields are absent"
+    );
     assert!(config.routes[1].unkeyed && !config.routes[0].unkeyed);
 }
 
 #[test]
-fn a_bad_tenant_is_named_and_its_keys_are_not() {
+fn errors_name_the_invalid_tenant_but_no_key() {
     for (path, value, names) in [
         ("/tenants/1/keys", json!(["k2"]), "shop"),
         ("/tenants/1/name", json!("clinic"), "clinic"),
@@ -54,12 +58,12 @@
 }
 
 #[test]
-fn a_key_belongs_to_one_tenant_in_the_version_that_is_in_force() {
+fn a_key_belongs_to_one_tenant_of_the_current_revision() {
     let index = ConfigurationIndex::from(read(&configuration()).expect("valid"));
     let holder = |index: &ConfigurationIndex, key: &str| index.tenant_of(key).map(|t| t.name.clone());
     assert_eq!(holder(&index, "k2").as_deref(), Some("clinic"));
     assert_eq!(holder(&index, "k3").as_deref(), Some("shop"));
-    assert_eq!(holder(&index, "K3"), None, "keys are compared to the letter");
+    assert_eq!(holder(&index, "K3"), None, "keys are case-sensitive");
     assert_eq!(holder(&index, ""), None);
     let mut next = configuration();
     next["tenants"][0]["keys"] = json!(["k1", "k4"]);
@@ -68,19 +72,19 @@
 }
 
 #[test]
-fn keys_are_asked_for_wherever_the_configuration_has_tenants() {
+fn keys_are_required_if_the_configuration_has_a_tenant_list() {
     let has_tenants = |value: &Value| ConfigurationIndex::from(read(value).expect("valid")).has_tenants();
     let mut config = configuration();
     assert!(has_tenants(&config));
     config.as_object_mut().expect("an object").remove("tenants");
     assert!(!has_tenants(&config));
-    // The last one was taken away: that opens nothing to everybody.
+    // Removing the last tenant must not admit requests without a key.
     config["tenants"] = json!([]);
     assert!(has_tenants(&config));
 }
 
 #[test]
-fn a_change_of_one_tenant_goes_as_a_change_of_named_items() {
+fn tenants_are_changed_as_named_items() {
     let old = config::canonical(configuration().to_string().as_bytes()).expect("read");
     let change = json!({"revision": 9, "upsert": {"tenants": [{"name": "shop", "keys": ["k9"]}]},
         "remove": {"tenants": ["clinic"]}});
