--- a/crates/agent/tests/freshness.rs
+++ b/crates/agent/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! What a process learns, and passes on, of how fresh its configuration is.
+//! How a process receives and forwards the confirmed age of its configuration.
 
 use agent::ClusterView;
 use rpc::messages::*;
@@ -18,21 +18,21 @@
 }
 
 #[test]
-fn a_statement_only_grows_older_on_its_way() {
+fn the_confirmed_age_only_grows_when_forwarded() {
     let start = Instant::now();
     let after = |ms| start + Duration::from_millis(ms);
     let mut agent = at_revision_three();
     agent.take_answer(&answer(3, Some(200)), after(1000));
     let news = agent.proven_news_for(&ViewVersions::default(), after(1700));
     assert_eq!((news.have.configuration, news.configuration_age_ms), (3, Some(900)));
-    // Its asker counts from when it asked, however long the answer took.
+    // The requester counts from the time of its request, however long the response took.
     let mut front = at_revision_three();
     front.take_answer(&news, after(2000));
     assert_eq!(front.freshness.age(after(5000)), Some(Duration::from_millis(3900)));
 }
 
 #[test]
-fn what_was_shown_after_the_question_counts_from_the_question() {
+fn a_confirmation_received_after_the_request_has_age_zero() {
     let start = Instant::now();
     let mut agent = at_revision_three();
     agent.take_answer(&answer(3, Some(0)), start + Duration::from_millis(600));
@@ -41,14 +41,14 @@
 }
 
 #[test]
-fn nothing_is_told_where_nothing_was_shown() {
+fn no_age_is_reported_without_a_confirmation() {
     let mut view = at_revision_three();
     view.take_answer(&answer(3, None), Instant::now());
     assert_eq!(view.proven_news_for(&ViewVersions::default(), Instant::now()).configuration_age_ms, None);
 }
 
 #[test]
-fn a_newer_revision_is_waited_for_and_counts_when_it_comes_by_another_way() {
+fn a_confirmation_of_a_newer_revision_takes_effect_when_that_revision_is_received() {
     let start = Instant::now();
     let mut view = at_revision_three();
     view.take_answer(&answer(4, Some(0)), start);
