--- a/crates/agent/tests/identity.rs
+++ b/crates/agent/tests/identity.rs
@@ -1,4 +1,4 @@
-//! What an agent tells of its node while the service process beside it starts and ends on its own.
+//! What an agent reports for its node while the local service process starts and stops independently.
 
 use agent::NodeIdentity;
 use rpc::messages::Node;
@@ -9,38 +9,39 @@
     NodeIdentity::new(Node { name: "front-1".into(), incarnation: FIRST, ..Node::default() })
 }
 
-fn told(identity: &NodeIdentity) -> (u64, bool) {
+fn reported(identity: &NodeIdentity) -> (u64, bool) {
     let node = identity.node();
     (node.incarnation, node.leaving)
 }
 
-/// Guards against LOST: a front that was started again beside its agent stayed one that leaves.
+/// Guards against LOST: a front that restarted beside a running agent was still
+/// reported as leaving.
 #[test]
-fn a_service_that_is_started_again_serves_in_a_new_incarnation() {
+fn a_restarted_service_serves_in_a_new_incarnation() {
     let mut identity = identity();
     identity.service_told(7, false);
-    assert_eq!(told(&identity), (FIRST, false));
+    assert_eq!(reported(&identity), (FIRST, false));
     identity.service_told(7, true);
-    assert_eq!(told(&identity), (FIRST, true));
+    assert_eq!(reported(&identity), (FIRST, true));
     identity.service_told(7, false);
-    assert_eq!(told(&identity), (FIRST, true), "leaving is not undone within a start");
+    assert_eq!(reported(&identity), (FIRST, true), "leaving is not undone within one run");
     identity.service_told(8, false);
-    assert_eq!(told(&identity), (FIRST + 1, false));
+    assert_eq!(reported(&identity), (FIRST + 1, false));
     identity.service_told(8, true);
     identity.service_told(3, false);
-    assert_eq!(told(&identity), (FIRST + 2, false), "a clock that went back makes no start an old one");
+    assert_eq!(reported(&identity), (FIRST + 2, false), "a restart is detected even if the clock went back");
 }
 
 #[test]
-fn a_service_that_was_killed_is_another_incarnation_too() {
+fn a_killed_service_also_restarts_in_a_new_incarnation() {
     let mut identity = identity();
     identity.service_told(7, false);
     identity.service_told(8, false);
-    assert_eq!(told(&identity), (FIRST + 1, false));
+    assert_eq!(reported(&identity), (FIRST + 1, false));
 }
 
 #[test]
-fn an_agent_that_ends_leaves_whatever_its_service_does() {
+fn a_stopping_agent_leaves_whatever_its_service_does() {
     let mut identity = identity();
     identity.service_told(7, true);
     identity.end();
@@ -49,7 +50,7 @@
 }
 
 #[test]
-fn an_incarnation_that_others_know_is_followed_by_another() {
+fn an_incarnation_known_to_others_is_followed_by_a_later_one() {
     let mut identity = identity();
     assert_eq!(identity.begin_after(FIRST - 1), None);
     assert_eq!(identity.begin_after(FIRST + 5), Some(FIRST + 6));
