--- a/crates/agent/tests/placement.rs
+++ b/crates/agent/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Which partition keeps a message that is bound to regions.
+//! Selection of the partition for messages that are restricted to regions.
 
 use agent::*;
 use config::{Configuration, ConfigurationIndex};
@@ -15,7 +15,7 @@
   "plants": [{"name": "p"}, {"name": "m", "flowPerS": 9}], "limits": {},
   "tenants": [{"name": "t1", "keys": ["k1"], "domains": ["r1"]}, {"name": "t3", "keys": ["k3"], "domains": ["r3"]}]}"#;
 
-/// Four unbound partitions and two in each of three regions, each owned by a store node of its own.
+/// Four partitions without a home region and two in each of three regions, each with a different owner.
 fn view() -> ClusterView {
     let partition = |id: u32, home: &str| Partition {
         id,
@@ -41,7 +41,7 @@
     Configuration::read(CONFIGURATION.as_bytes()).expect("a configuration").into()
 }
 
-/// The partitions that messages of a route and a tenant come to, over many ids and order keys.
+/// The partitions selected for messages of a route and a tenant, over many ids and order keys.
 fn partitions(view: &ClusterView, route: &str, tenant: &str, zone: &str) -> BTreeSet<u32> {
     let route = view.configuration.route_named(route).expect("a route");
     let place = |n: u32| {
@@ -53,17 +53,21 @@
 }
 
 #[test]
-fn a_bound_message_is_kept_in_its_homes_and_any_other_outside_of_the_bound_partitions() {
+fn restricted_messages_are_placed_in_their_homes_and_others_in_unrestricted_partitions() {
     let view = view();
     assert_eq!(partitions(&view, "free", "", "elsewhere"), BTreeSet::from([0, 1, 2, 3]));
     assert_eq!(partitions(&view, "bound", "", "elsewhere"), BTreeSet::from([4, 5, 6, 7]));
-    assert_eq!(partitions(&view, "bound", "", "z6"), BTreeSet::from([6]), "near the client, where that is a home");
-    assert_eq!(partitions(&view, "bound", "", "z8"), BTreeSet::from([4, 5, 6, 7]), "though an owner is near");
+    assert_eq!(partitions(&view, "bound", "", "z6"), BTreeSet::from([6]), "near the client, if its region is a home");
+    assert_eq!(
+        partitions(&view, "bound", "", "z8"),
+        BTreeSet::from([4, 5, 6, 7]),
+        "even if the owner of another partition is near"
+    );
     assert_eq!(partitions(&view, "keyed", "", "z6"), BTreeSet::from([4, 5]));
 }
 
 #[test]
-fn where_route_and_tenant_have_homes_both_bind() {
+fn homes_of_route_and_tenant_are_intersected() {
     let view = view();
     assert_eq!(partitions(&view, "bound", "t1", "z6"), BTreeSet::from([4, 5]));
     assert_eq!(partitions(&view, "free", "t3", "z6"), BTreeSet::from([8, 9]));
@@ -71,7 +75,7 @@
 }
 
 #[test]
-fn an_order_key_stays_where_it_is_while_its_homes_do() {
+fn an_order_key_keeps_its_partition_while_its_homes_are_unchanged() {
     let mut view = view();
     let route = view.configuration.route_named("keyed").expect("a route").clone();
     let keys = PlacementKeys { order_key: "k", id: "a", ..PlacementKeys::default() };
@@ -83,7 +87,7 @@
 }
 
 #[test]
-fn the_owners_of_a_metered_service_divide_its_rate_by_all_partitions_that_may_keep_messages_for_it() {
+fn metered_partitions_are_all_partitions_that_may_store_messages_for_the_service() {
     let view = view();
     let partitions = metered_partitions(&view, &view.configuration, "m", false);
     let mut expected = BTreeSet::new();
