--- a/crates/agent/tests/weights.rs
+++ b/crates/agent/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Which service and partition a message has on a route that services share by weights.
+//! Selection of service and partition on a route that services share by weights.
 
 use agent::*;
 use config::{Configuration, ConfigurationIndex, Route};
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn messages_are_shared_by_their_ids_and_each_stays_with_its_service() {
+fn message_ids_select_services_by_weight_and_deterministically() {
     let view = view();
     let route = shared(&view.configuration);
     let mut counts: BTreeMap<&str, u32> = BTreeMap::new();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_service_that_shares_a_route_is_known_to_have_messages_there() {
+fn message_routes_include_shared_routes() {
     let view = view();
     let names = |service| -> Vec<&str> {
         view.configuration.message_routes(service).map(|route| route.name.as_str()).collect()
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn the_partitions_of_a_metered_service_are_those_that_its_messages_come_to() {
+fn metered_partitions_are_those_that_messages_of_the_service_are_placed_in() {
     let view = view();
     let route = shared(&view.configuration);
     let place = |id: &str, operation| {
@@ -67,8 +67,8 @@
         let partition = place(&id, None).expect("a partition");
         assert!(service_of(route, &id) != "metered" || metered.contains(&partition));
     }
-    // Tries at one operation have ids, and so services, of their own, and meet all the same.
+    // Attempts at one operation differ in id and so in service, but share a partition.
     let operation = Some(OperationId { high: 7, low: 7 });
-    let met: std::collections::BTreeSet<_> = (0..50).map(|n| place(&format!("try-{n}"), operation)).collect();
-    assert_eq!(met.len(), 1);
+    let partitions: std::collections::BTreeSet<_> = (0..50).map(|n| place(&format!("try-{n}"), operation)).collect();
+    assert_eq!(partitions.len(), 1);
 }
