--- a/crates/control/src/duties.rs
+++ b/crates/control/src/duties.rs
@@ -106,7 +106,7 @@
         let mut proposals = Vec::new();
         let now = self.now();
         let lease = self.settings.lease_ms();
-        let mut commands = Vec::new();
+        let mut commands: Vec<(String, CommandPayload)> = Vec::new();
         self.with(|shared| {
             self.update_cluster_clock(shared, now);
             shared.record_returning_zones(now);
@@ -149,13 +149,13 @@
                         partitions.len(),
                         live.len()
                     );
-                    commands.push(CommandPayload::Layout(Layout { partitions }));
+                    commands.push(("layout".into(), CommandPayload::Layout(Layout { partitions })));
                 }
                 return;
             }
             let retiring: Vec<String> = Self::retiring(shared);
             if let Some(layout) = self.missing_home_layout(shared, &live, &retiring, spread) {
-                commands.push(CommandPayload::HomeLayout(layout));
+                commands.push(("home layout".into(), CommandPayload::HomeLayout(layout)));
                 return;
             }
             let partitions = shared.control_state.assignments.partitions.clone();
@@ -228,7 +228,10 @@
                     } else if updated.in_sync != p.in_sync {
                         telemetry::change!("partition {} in sync: {:?}", p.id, updated.in_sync);
                     }
-                    commands.push(CommandPayload::Partition(PutPartition { was: p.clone(), now: updated }));
+                    commands.push((
+                        format!("p{}", p.id),
+                        CommandPayload::Partition(PutPartition { was: p.clone(), now: updated }),
+                    ));
                     continue;
                 }
                 let departing_replica = p.replicas.iter().find(|h| departing.contains(h.as_str()));
@@ -248,7 +251,10 @@
                         replace_replica(p, departing_replica, &partitions, &available, replica_count, spread)
                 {
                     telemetry::change!("partition {} replicas {:?}", p.id, updated.replicas);
-                    commands.push(CommandPayload::Partition(PutPartition { was: p.clone(), now: updated }));
+                    commands.push((
+                        format!("p{}", p.id),
+                        CommandPayload::Partition(PutPartition { was: p.clone(), now: updated }),
+                    ));
                     continue;
                 }
                 if p.replicas.len() < replica_count
@@ -256,7 +262,10 @@
                 {
                     let mut updated = p.clone();
                     updated.replicas.push(n);
-                    commands.push(CommandPayload::Partition(PutPartition { was: p.clone(), now: updated }));
+                    commands.push((
+                        format!("p{}", p.id),
+                        CommandPayload::Partition(PutPartition { was: p.clone(), now: updated }),
+                    ));
                 }
             }
             // A machine that has just arrived may be the replacement of one that is about to leave,
@@ -268,7 +277,9 @@
             {
                 telemetry::change!("partition {} replicas {:?}, for balance", updated.id, updated.replicas);
                 let was = partitions.iter().find(|p| p.id == updated.id).cloned();
-                commands.extend(was.map(|was| CommandPayload::Partition(PutPartition { was, now: updated })));
+                commands.extend(
+                    was.map(|was| ("balance".into(), CommandPayload::Partition(PutPartition { was, now: updated }))),
+                );
             }
             for r in shared.control_state.assignments.retires.iter().filter(|r| !r.done) {
                 if is_drained(&partitions, &r.node, replica_count) {
@@ -280,11 +291,11 @@
                         replica_count: replica_count as u32,
                         born,
                     };
-                    commands.push(CommandPayload::FinishRetire(finish));
+                    commands.push((r.node.clone(), CommandPayload::FinishRetire(finish)));
                 }
             }
         });
-        for command in commands {
+        for (_, command) in commands {
             // Proposed concurrently: each command changes another partition, and only if it is still
             // as it was read here.
             let control = self.clone();
@@ -382,8 +393,7 @@
                 monitor.track_rollout(r.began);
                 let mut updated = r.clone();
                 updated.spent = updated.spent.max(monitor.sent_new);
-                let min_difference_ms = self.settings.constraints.revert_slack_ms / 10.0;
-                match monitor.decide(r, cluster_time, full_share_ms, min_difference_ms) {
+                match monitor.decide(r, cluster_time, full_share_ms, self.settings.constraints.revert_slack_ms / 10.0) {
                     RolloutDecision::Wait => continue,
                     RolloutDecision::Share(s) => updated.share = s,
                     RolloutDecision::Settle => updated.state = "settled".into(),
