--- a/crates/functions/src/gateway.rs
+++ b/crates/functions/src/gateway.rs
@@ -80,14 +80,18 @@
         let silence = Duration::from_millis((quiet_ms / 4.0) as u64);
         let retry_window = Duration::from_secs_f64(constraints.retry_window_s.max(0.1));
         let incarnation = rpc::new_incarnation();
-        let (settle_ms, backoff_ms) = ((quiet_ms / 40.0) as u64, (quiet_ms / 4.0) as u64);
         Arc::new(FunctionGateway {
             rpc_clients: RpcClients::new(silence),
             pool: ConnectionPool::new(silence),
             view: watch::channel(ClusterView::default()).0,
             closing: watch::channel(Closing::Open).0,
             state: Mutex::new(GatewayState {
-                slot_table: SlotTable::new(&settings.node, incarnation, settle_ms, backoff_ms),
+                slot_table: SlotTable::new(
+                    &settings.node,
+                    incarnation,
+                    (quiet_ms / 40.0) as u64,
+                    (quiet_ms / 4.0) as u64,
+                ),
                 waiters: HashMap::new(),
                 unresponsive: HashMap::new(),
                 excluded_fronts: Vec::new(),
