--- a/crates/functions/src/gateway/forward.rs
+++ b/crates/functions/src/gateway/forward.rs
@@ -56,8 +56,8 @@
         };
         // An answer may be lost or a processor slow. If a request takes far longer than usual, a
         // second one is sent, and the client gets the first answer.
-        let target_ms = request.route.target_latency_ms.max(1.0);
-        let hedge_after_ms = (target_ms * HEDGE_TARGET_FRACTION).max(mean_run_ms * HEDGE_FACTOR);
+        let hedge_after_ms =
+            (request.route.target_latency_ms.max(1.0) * HEDGE_TARGET_FRACTION).max(mean_run_ms * HEDGE_FACTOR);
         let hedge_after = Duration::from_micros((hedge_after_ms * 1000.0) as u64);
         let second = || {
             let may_hedge = request.attempts().has_room() && self.holds_slot_of(&request.service) && self.take_retry();
@@ -120,8 +120,8 @@
                     if delivery_failure == DeliveryFailure::Silent { Failure::TimedOut } else { Failure::MayHaveRun }
                 }
             };
-            let safety = if request.is_safe { RetrySafety::Safe } else { RetrySafety::Unsafe };
-            let retry_owner = delivery_failure.retry_owner(safety);
+            let retry_owner =
+                delivery_failure.retry_owner(if request.is_safe { RetrySafety::Safe } else { RetrySafety::Unsafe });
             let may_retry =
                 matches!(retry_owner, RetryOwner::Front | RetryOwner::FrontTries) && request.attempts().has_room();
             if !may_retry || !self.take_retry() {
