--- a/crates/functions/src/gateway/slot_client.rs
+++ b/crates/functions/src/gateway/slot_client.rs
@@ -35,8 +35,14 @@
     pub(super) fn mark_unresponsive(self: &Arc<Self>, name: &str) {
         let incarnation = self.view.borrow().node(name, "functions").map_or(0, |node| node.incarnation);
         let until = Instant::now() + self.quiet_fraction(2.0);
-        let front = UnresponsiveFront { until, incarnation };
-        if self.state.lock().unwrap().unresponsive.insert(name.to_owned(), front).is_none() {
+        if self
+            .state
+            .lock()
+            .unwrap()
+            .unresponsive
+            .insert(name.to_owned(), UnresponsiveFront { until, incarnation })
+            .is_none()
+        {
             telemetry::change!("front {name} does not answer; excluding it as a slot owner");
             self.reassign_functions();
         }
@@ -178,8 +184,8 @@
                 _ => {}
             }
             retry_ms = 100;
-            let pause = self.quiet_fraction(400.0).min(deadline.saturating_duration_since(Instant::now()));
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(self.quiet_fraction(400.0).min(deadline.saturating_duration_since(Instant::now())))
+                .await;
         }
         Err(Failure::NotRun { retry_ms: retry_ms.max(50) })
     }
@@ -205,6 +211,6 @@
     /// Whether this front holds a slot of the function. If not, its requests wait for a start, and
     /// a second request would only wait beside the first.
     pub(super) fn holds_slot_of(&self, service: &str) -> bool {
-        self.state.lock().unwrap().held_slots.values().any(|(held, _)| held.service == service)
+        self.state.lock().unwrap().held_slots.values().any(|held| held.0.service == service)
     }
 }
