--- a/crates/functions/src/gateway/slot_service.rs
+++ b/crates/functions/src/gateway/slot_service.rs
@@ -61,7 +61,7 @@
             if let Some(Body::StartAck(ack)) = response {
                 if !ack.processor.is_empty() {
                     self.update_slots(|slot_table, now, effects| {
-                        slot_table.processor_started(&service, &nonce, &ack, now, effects);
+                        slot_table.processor_started(&service, &nonce, &ack, now, effects)
                     });
                     return;
                 }
@@ -70,8 +70,9 @@
                     break;
                 }
                 if !ack.leader.is_empty() && ack.leader != leader {
-                    let update = ViewUpdate { leader: ack.leader, ..ViewUpdate::default() };
-                    self.view.send_if_modified(|view| view.take(&update));
+                    self.view.send_if_modified(|view| {
+                        view.take(&ViewUpdate { leader: ack.leader, ..ViewUpdate::default() })
+                    });
                 }
             }
             // The pause grows: while there is no leader, hundreds of functions may be requested.
@@ -105,7 +106,7 @@
             Body::SlotRequest(request) => self.handle_slot_request(request, Waiter::Remote(responder)),
             Body::Ack(ack) => responder.send(Body::Ack(ack)),
             Body::SlotRelease(release) => {
-                self.update_slots(|slot_table, now, effects| slot_table.release(&release, now, effects));
+                self.update_slots(|slot_table, now, effects| slot_table.release(&release, now, effects))
             }
             Body::SlotsHeld(report) => self.update_slots(|slot_table, now, _| {
                 for held in &report.held {
@@ -119,10 +120,10 @@
                     .slot_table
                     .usage()
                     .into_iter()
-                    .filter(|(_, processors, held, waiting)| processors + held + waiting > 0)
-                    .map(|(service, processors, held, waiting)| {
-                        serde_json::json!({"service": service, "processors": processors, "held": held,
-                            "waiting": waiting})
+                    .filter(|usage| usage.1 + usage.2 + usage.3 > 0)
+                    .map(|usage| {
+                        serde_json::json!({"service": usage.0, "processors": usage.1, "held": usage.2,
+                            "waiting": usage.3})
                     })
                     .collect();
                 let json = serde_json::json!({"node": self.settings.node, "ready": self.is_ready(),
@@ -136,9 +137,12 @@
     }
 
     pub(super) fn handle_slot_request(self: &Arc<Self>, request: SlotRequest, waiter: Waiter) {
-        if self.is_slot_owner(&request.service, &self.unresponsive_fronts()) {
+        let is_slot_owner = |excluded: &[String]| {
+            self.slot_owner_excluding(&request.service, excluded).is_some_and(|owner| owner.0 == self.settings.node)
+        };
+        if is_slot_owner(&self.unresponsive_fronts()) {
             self.enqueue_slot_request(request, waiter);
-        } else if self.is_slot_owner(&request.service, &request.unresponsive_fronts) {
+        } else if is_slot_owner(&request.unresponsive_fronts) {
             tokio::spawn(self.clone().check_excluded_fronts(request, waiter));
         } else {
             let outcome = SlotOutcome::Elsewhere as i32;
@@ -146,11 +150,6 @@
         }
     }
 
-    /// Whether this front owns the slots of a function if some fronts are excluded.
-    fn is_slot_owner(&self, service: &str, excluded: &[String]) -> bool {
-        self.slot_owner_excluding(service, excluded).is_some_and(|owner| owner.0 == self.settings.node)
-    }
-
     pub(super) fn enqueue_slot_request(self: &Arc<Self>, request: SlotRequest, waiter: Waiter) {
         let mut guard = self.state.lock().unwrap();
         let state = &mut *guard;
@@ -225,12 +224,12 @@
             .map(|node| node.name.clone())
             .collect();
         *self.fronts.lock().unwrap() = Arc::new(fronts);
-        let owns = |service: &str| {
-            self.is_slot_owner(service, &excluded) || self.is_slot_owner(service, &[]) || self.has_slots_in_use(service)
-        };
         let mut owned: HashMap<String, (Option<FunctionConfig>, Vec<ListedProcessor>)> = HashMap::new();
         for service in view.configuration.services.iter().filter(|service| service.is_function()) {
-            if owns(&service.name) {
+            let is_slot_owner = |excluded: &[String]| {
+                self.slot_owner_excluding(&service.name, excluded).is_some_and(|owner| owner.0 == self.settings.node)
+            };
+            if is_slot_owner(&excluded) || is_slot_owner(&[]) || self.has_slots_in_use(&service.name) {
                 let config = FunctionConfig {
                     slots_per_processor: service.max_inflight as usize,
                     boot_ms: service.boot_ms as u64,
@@ -239,13 +238,16 @@
             }
         }
         for service in self.removed_services(&view) {
-            if owns(&service) {
+            let is_slot_owner = |excluded: &[String]| {
+                self.slot_owner_excluding(&service, excluded).is_some_and(|owner| owner.0 == self.settings.node)
+            };
+            if is_slot_owner(&excluded) || is_slot_owner(&[]) || self.has_slots_in_use(&service) {
                 owned.insert(service, (None, Vec::new()));
             }
         }
         for processor in self.processors.lock().unwrap().iter() {
-            if let Some((_, listed)) = owned.get_mut(&processor.service) {
-                listed.push(ListedProcessor {
+            if let Some(function) = owned.get_mut(&processor.service) {
+                function.1.push(ListedProcessor {
                     id: processor.id.clone(),
                     address: processor.address.clone(),
                     zone: processor.zone.clone(),
