--- a/crates/functions/src/slots.rs
+++ b/crates/functions/src/slots.rs
@@ -169,8 +169,8 @@
     /// Estimated time until the earliest requested start is up.
     fn expected_wait_ms(&self, now: u64) -> u64 {
         let starting = self.processors.values().filter(|p| !p.is_up && p.is_open()).map(|p| p.start_requested_at);
-        let pending = self.pending_starts.values().map(|start| start.requested_at);
-        let requested_at = starting.chain(pending).min().unwrap_or(now);
+        let requested_at =
+            starting.chain(self.pending_starts.values().map(|start| start.requested_at)).min().unwrap_or(now);
         (requested_at + self.boot_ms() * 3 / 2).saturating_sub(now)
     }
 
@@ -273,8 +273,12 @@
             .functions
             .iter()
             .map(|(service, function)| {
-                let held = function.processors.values().map(|processor| processor.holders.len()).sum();
-                (service.as_str(), function.processors.len(), held, function.waiting.len())
+                (
+                    service.as_str(),
+                    function.processors.len(),
+                    function.processors.values().map(|processor| processor.holders.len()).sum(),
+                    function.waiting.len(),
+                )
             })
             .collect();
         usage.sort_unstable();
@@ -441,13 +445,15 @@
                 // A front holds a slot that was not granted here but, for example, by another slot
                 // owner. One slot less is granted until that request can be expected to have ended.
                 SlotEnd::Full => {
-                    let expires_at = now + (2 * boot_ms).max(backoff_ms / 2);
-                    processor.holders.insert((String::new(), release.slot_id), expires_at);
+                    processor.holders.insert((String::new(), release.slot_id), now + (2 * boot_ms).max(backoff_ms / 2));
                 }
                 SlotEnd::Unresponsive => processor.unavailable_until = now + backoff_ms,
                 SlotEnd::Gone => {
                     function.processors.remove(&release.processor);
-                    self.removed.insert(release.processor.clone(), RemovedProcessor::new(now, backoff_ms));
+                    self.removed.insert(
+                        release.processor.clone(),
+                        RemovedProcessor { forget_at: now + 40 * backoff_ms, stop_again_at: now + 4 * backoff_ms },
+                    );
                 }
             }
         }
@@ -553,7 +559,11 @@
             }
             for id in to_stop {
                 function.processors.remove(&id);
-                self.removed.insert(id.clone(), RemovedProcessor::new(now, self.backoff_ms));
+                let backoff_ms = self.backoff_ms;
+                self.removed.insert(
+                    id.clone(),
+                    RemovedProcessor { forget_at: now + 40 * backoff_ms, stop_again_at: now + 4 * backoff_ms },
+                );
                 effects.push(Effect::Stop { service: service.clone(), processor: id });
             }
             self.schedule(&service, now, effects);
@@ -574,8 +584,7 @@
             && let Some((request, id)) = function.next_grant(now)
         {
             if let Some(processor) = function.processors.get_mut(&id) {
-                let expires_at = now + request.hold_ms.max(request.deadline - now);
-                processor.holders.insert(request.holder.clone(), expires_at);
+                processor.holders.insert(request.holder.clone(), now + request.hold_ms.max(request.deadline - now));
                 effects.push(Effect::Grant {
                     holder: request.holder,
                     processor: id,
@@ -621,8 +630,9 @@
                 self.last_start += 1;
                 let nonce = format!("{}-{}-{:x}", self.node, self.last_start, self.incarnation);
                 let nonce = nonce[nonce.len().saturating_sub(64)..].to_owned();
-                let pending = PendingStart { requested_at: now, zones: zones.to_vec() };
-                function.pending_starts.insert(nonce.clone(), pending);
+                function
+                    .pending_starts
+                    .insert(nonce.clone(), PendingStart { requested_at: now, zones: zones.to_vec() });
                 effects.push(Effect::Start { service: service.to_owned(), nonce, zones: zones.to_vec() });
             }
         }
@@ -641,13 +651,17 @@
     }
 }
 
-impl RemovedProcessor {
-    fn new(now: u64, backoff_ms: u64) -> RemovedProcessor {
-        RemovedProcessor { forget_at: now + 40 * backoff_ms, stop_again_at: now + 4 * backoff_ms }
+impl ProcessorSlots {
+    /// Whether its slots may be granted.
+    fn is_open(&self) -> bool {
+        !self.is_draining && !self.is_evacuated
+    }
+
+    /// Whether it is in one of these zones; an empty list means any zone.
+    fn is_in(&self, zones: &[String]) -> bool {
+        zones.is_empty() || zones.contains(&self.zone)
     }
-}
 
-impl ProcessorSlots {
     fn new(address: &str, now: u64) -> ProcessorSlots {
         ProcessorSlots {
             address: address.to_owned(),
@@ -662,14 +676,4 @@
             idle_since: now,
         }
     }
-
-    /// Whether its slots may be granted.
-    fn is_open(&self) -> bool {
-        !self.is_draining && !self.is_evacuated
-    }
-
-    /// Whether it is in one of these zones; an empty list means any zone.
-    fn is_in(&self, zones: &[String]) -> bool {
-        zones.is_empty() || zones.contains(&self.zone)
-    }
 }
