--- a/crates/partition/src/replica.rs
+++ b/crates/partition/src/replica.rs
@@ -289,9 +289,11 @@
 
     /// Whether this node is the owner and accepts new records.
     pub fn is_writable(&self) -> bool {
-        let phase = self.planned_move.as_ref().map(|planned| &planned.phase);
-        let is_stopping = matches!(phase, Some(Phase::Stopping { .. } | Phase::StopWritten { .. }));
-        self.role == ReplicaRole::Owner && !is_stopping
+        self.role == ReplicaRole::Owner
+            && !matches!(
+                &self.planned_move,
+                Some(planned) if matches!(planned.phase, Phase::Stopping { .. } | Phase::StopWritten { .. })
+            )
     }
 
     /// Whether all records that may have been committed before this node became owner have been
