--- a/crates/partition/src/replica/follower.rs
+++ b/crates/partition/src/replica/follower.rs
@@ -141,6 +141,7 @@
         self.verified = 0;
         self.verified_from = 0;
         self.mismatch = false;
+        let _ = now;
         out.push(Effect::Persist {
             del: (end >= from).then_some((from, end)),
             put: Vec::new(),
