--- a/crates/partition/src/replica/ownership.rs
+++ b/crates/partition/src/replica/ownership.rs
@@ -35,23 +35,32 @@
                     self.joining.retain(|n, _| !partition.in_sync.contains(n));
                     self.advance_commit(now, out);
                 }
-                // Without a grant the phase is kept: a grant received earlier, in an `OrderAck`, may be newer
-                // than this assignment.
-                if let Some(grant) = &partition.grant {
-                    let stopping = Phase::Stopping { term: grant.term, in_sync: grant.in_sync.clone() };
-                    match &mut self.planned_move {
-                        Some(planned) if planned.candidate == grant.candidate => {
-                            if !matches!(planned.phase, Phase::StopWritten { .. }) {
-                                planned.phase = stopping;
+                match &partition.grant {
+                    Some(grant) => {
+                        let stopping = Phase::Stopping { term: grant.term, in_sync: grant.in_sync.clone() };
+                        match &mut self.planned_move {
+                            Some(planned) if planned.candidate == grant.candidate => {
+                                if !matches!(planned.phase, Phase::StopWritten { .. }) {
+                                    planned.phase = stopping;
+                                }
+                            }
+                            _ => {
+                                let candidate = grant.candidate.clone();
+                                self.planned_move =
+                                    Some(PlannedMove { candidate, leaving: false, started_at: now, phase: stopping });
                             }
                         }
-                        _ => {
-                            let candidate = grant.candidate.clone();
-                            self.planned_move =
-                                Some(PlannedMove { candidate, leaving: false, started_at: now, phase: stopping });
+                        self.advance_move(now, out);
+                    }
+                    None => {
+                        if matches!(
+                            &self.planned_move,
+                            Some(planned) if matches!(planned.phase, Phase::Stopping { .. })
+                        ) {
+                            // Without a grant the phase is kept: a grant received earlier, in an `OrderAck`, may be
+                            // newer than this assignment.
                         }
                     }
-                    self.advance_move(now, out);
                 }
             } else if self.role == ReplicaRole::Follower && partition.owner != self.node {
                 self.owner.clone_from(&partition.owner);
