--- a/crates/http1/src/client.rs
+++ b/crates/http1/src/client.rs
@@ -163,7 +163,7 @@
         } else if has_unidentified && unidentified.missing(address, Instant::now()) {
             telemetry::count("processors_without_id");
             telemetry::error!(
-                "responses do not repeat X-Attempt-Id, so no request to it can complete: processor={address} host={host}"
+                "answers do not repeat X-Attempt-Id, none of its runs can end: processor={address} host={host}"
             );
         }
     }
